--- a/rainturn/component.py
+++ b/rainturn/component.py
@@ -9,7 +9,7 @@
 from rainturn.timers import TimerQueue
 
 
-class Shared:
+class SharedState:
     """One gateway's settings, random source, actions, timers and usual answer times."""
 
     def __init__(self, settings: it.Settings, seed: int) -> None:
@@ -23,7 +23,7 @@
 class Component:
     """Base of the parts of a gateway."""
 
-    def __init__(self, shared: Shared) -> None:
+    def __init__(self, shared: SharedState) -> None:
         self.settings = shared.settings
         self.rng = shared.rng
         self.actions = shared.actions
--- a/rainturn/decisions/attempts.py
+++ b/rainturn/decisions/attempts.py
@@ -3,9 +3,9 @@
 import math
 
 from rainturn import interface as it
-from rainturn.component import Component, Shared
+from rainturn.component import Component, SharedState
 from rainturn.decisions import quota
-from rainturn.decisions.hosts import SUSPECT_FAILURES, Hosts
+from rainturn.decisions.hosts import SUSPECT_FAILURES, HostSelector
 from rainturn.interface import Outcome
 from rainturn.records import Attempt, Customer, PendingRequest
 from rainturn.timers import HoldTimers
@@ -14,7 +14,7 @@
 HELD_UP_MS = 150.0  # a gateway may be held up for so long between reading its clock and writing (protocol)
 RETRY_SHARE = 0.1  # further attempts earned by each first one, so that retries cannot feed an overload
 RETRY_BANK = 10.0
-HOLD_SHARE = 0.6  # part of the target that a request may be held for want of a host, slot or total
+MAX_HOLD_SHARE = 0.6  # part of the target that a request may be held for want of a host, slot or total
 NEVER_RAN = (Outcome.FULL, Outcome.UNREACHABLE, Outcome.MOOT)
 NEVER_SENT = (Outcome.UNREACHABLE, Outcome.MOOT)
 
@@ -22,11 +22,11 @@
 class Attempts(Component):
     """Owns the requests from their arrival to the end of their last attempt."""
 
-    def __init__(self, shared: Shared, hosts: Hosts, calls: quota.CounterCalls) -> None:
+    def __init__(self, shared: SharedState, hosts: HostSelector, calls: quota.CounterCalls) -> None:
         super().__init__(shared)
         self.hosts, self.calls, self.limits = hosts, calls, self.settings.limits
         self.open: dict[int, PendingRequest] = {}
-        self.parked: dict[int, PendingRequest] = {}  # open ones held for want of a host or of ceiling
+        self.queued: dict[int, PendingRequest] = {}  # open ones held for want of a host or of ceiling
         self.ended: dict[int, PendingRequest] = {}  # with attempts still out
         self.retry_bank = RETRY_BANK
         self.hold_timers = HoldTimers(self.timers, self._expire)
@@ -42,7 +42,7 @@
         host = self.hosts.choose(now, request) if number < self.limits.max_attempts else None
         if host is None or (not number and not self._draw_ceiling(now, request)):
             return self._park(now, request)
-        self.parked.pop(request.id, None)
+        self.queued.pop(request.id, None)
         if request.whole:
             self.hosts.index.add_load(now, host)
         host.tried_at = now
@@ -67,28 +67,28 @@
         return True
 
     def _park(self, now: float, request: PendingRequest) -> None:
-        if not self.parked:
-            self.timers.after(now, RECHECK_MS, self._recheck_parked)
-        if request.id not in self.parked and not request.open_attempts():
+        if not self.queued:
+            self.timers.after(now, RECHECK_MS, self._recheck_queued)
+        if request.id not in self.queued and not request.open_attempts():
             self.hold(now, request)
-        self.parked[request.id] = request
+        self.queued[request.id] = request
 
-    def retry_parked(self, now: float) -> None:
+    def retry_queued(self, now: float) -> None:
         """Look again for hosts and ceiling for the requests held for want of them."""
-        for request in list(self.parked.values()):
+        for request in list(self.queued.values()):
             if request.attempts and not request.open_attempts() and not self._may_repeat(now, request):
                 self._give_up(now, request)  # the time in which it may be repeated is over
             else:
                 self._send(now, request)
 
-    def _recheck_parked(self, now: float) -> None:
-        self.retry_parked(now)
-        if self.parked:
-            self.timers.after(now, RECHECK_MS, self._recheck_parked)
+    def _recheck_queued(self, now: float) -> None:
+        self.retry_queued(now)
+        if self.queued:
+            self.timers.after(now, RECHECK_MS, self._recheck_queued)
 
     def hold(self, now: float, request: PendingRequest) -> None:
         """See that a held request is answered in time (rule 1)."""
-        longest = request.arrived_at + HOLD_SHARE * request.request_class.aim_ms
+        longest = request.arrived_at + MAX_HOLD_SHARE * request.request_class.aim_ms
         self.hold_timers.hold(now, request, min(request.deadline - 2 * RECHECK_MS, longest))
 
     def _expire(self, now: float, request: PendingRequest) -> None:
@@ -122,7 +122,7 @@
         holder = request or self.ended.get(event.request)
         attempt = holder.attempt(event.attempt) if holder is not None else None
         if holder is not None and event.outcome not in NEVER_SENT:
-            holder.charged = False
+            holder.is_refundable = False
         host = self.hosts.index.hosts.get(event.host)
         if host is not None:
             is_load = attempt is None or attempt.is_load
@@ -202,7 +202,7 @@
     def _close(self, now: float, request: PendingRequest) -> None:
         """Forget a request that has its answer; attempts still out only report to their hosts."""
         self.open.pop(request.id, None)
-        self.parked.pop(request.id, None)
+        self.queued.pop(request.id, None)
         if request.open_attempts():
             self.ended[request.id] = request
         else:
@@ -210,8 +210,8 @@
 
     def _uncharge(self, now: float, request: PendingRequest) -> None:
         """Give back the units of a request that has ended and never came to a host: it has taken none."""
-        if request.charged and request.customer is not None:
-            request.charged = False
+        if request.is_refundable and request.customer is not None:
+            request.is_refundable = False
             self.calls.charge(now, request.customer, -request.units)
 
     def client_left(self, now: float, event: it.RequestGone) -> None:
@@ -261,7 +261,7 @@
             self.hosts.failed(now, host)
         if self.limits.may_duplicate and request.request_class.effect is not it.Effect.UNSAFE:
             self._send(now, request)
-            self.parked.pop(request.id, None)
+            self.queued.pop(request.id, None)
         elif self.limits.may_cancel:
             self.actions.append(it.Cancel(request.id, number))
         request.moving = True
--- a/rainturn/decisions/gateway.py
+++ b/rainturn/decisions/gateway.py
@@ -5,11 +5,11 @@
 from typing import Any
 
 from rainturn import interface as it
-from rainturn.component import Component, Shared
+from rainturn.component import Component, SharedState
 from rainturn.counts import customer_key, is_slots_name
 from rainturn.decisions.admission import PERIOD_MS, Tiers
 from rainturn.decisions.attempts import RECHECK_MS, Attempts
-from rainturn.decisions.hosts import Hosts
+from rainturn.decisions.hosts import HostSelector
 from rainturn.decisions.metering import QuotaMeter
 from rainturn.decisions.quota import CounterCalls
 from rainturn.decisions.slots import Slots
@@ -23,18 +23,18 @@
     """One gateway: hand it each event with the time, carry out the actions that it returns."""
 
     def __init__(self, settings: it.Settings, seed: int) -> None:
-        shared = Shared(settings, seed)
+        shared = SharedState(settings, seed)
         super().__init__(shared)
         self.tiers = Tiers(settings)
-        self.host_choice = Hosts(shared, self.tiers)
+        self.host_selector = HostSelector(shared, self.tiers)
         self.calls = CounterCalls(shared)
-        self.attempts = Attempts(shared, self.host_choice, self.calls)
+        self.attempts = Attempts(shared, self.host_selector, self.calls)
         self.slots = Slots(shared, self.attempts, self.calls)
         self.meter = QuotaMeter(shared, self.attempts, self.slots, self.calls)
-        self.index = self.host_choice.index
+        self.index = self.host_selector.index
         self.open, self.hosts, self.customers = self.attempts.open, self.index.hosts, self.meter.customers
         self.begun, self.in_service = False, True
-        self.settled_at = -math.inf  # after a handover: waits so long for a fresh list
+        self.ready_after = -math.inf  # after a handover: waits so long for a fresh list
         self._handlers: dict[type[it.Event], Callable[[float, Any], Any]] = {
             it.Arrived: self._arrived,
             it.BodyWhole: self.attempts.body_whole,
@@ -57,23 +57,23 @@
         if now > self.timers.armed_for + STALL_MS:
             # Guards against taking an own stall for slow or dead hosts or a slow counter: what was sent
             # before now is no evidence. Harm: a true outage in the same moment is seen later.
-            self.host_choice.evidence_since = self.timers.armed_for = now
+            self.host_selector.evidence_since = self.timers.armed_for = now
         handler = self._handlers.get(type(event))
         if handler is not None:
             handler(now, event)
         return self.actions.copy()
 
-    def ready(self, now: float) -> bool:
+    def is_ready(self, now: float) -> bool:
         """Whether clients should come: in service and settled, with a host to send to."""
-        return self.in_service and now >= self.settled_at and self.index.any_ready()
+        return self.in_service and now >= self.ready_after and self.index.any_ready()
 
-    def listed(self) -> int:
+    def listed_count(self) -> int:
         """How many hosts the list holds."""
         return len(self.index.listed())
 
-    def skipped(self) -> int:
+    def skipped_count(self) -> int:
         """How many listed hosts get no ordinary traffic: they drain, or are suspect."""
-        return self.host_choice.skipped()
+        return self.host_selector.skipped_count()
 
     def _begin(self, now: float) -> None:
         self.begun, self.meter.started = True, now
@@ -115,7 +115,7 @@
             self.slots.serve(now, customer)
 
     def _count_answered(self, now: float, event: it.CountAnswered) -> None:
-        if now - event.elapsed >= self.host_choice.evidence_since:
+        if now - event.elapsed >= self.host_selector.evidence_since:
             self.calls.note_answer(event)
         customer = self.customers.get(customer_key(event.name))
         if customer is not None:
@@ -127,9 +127,9 @@
         if event.kind is it.ListKind.FAILED:
             return self._watch_list()
         if event.kind is not it.ListKind.CACHED:
-            self.settled_at = -math.inf
+            self.ready_after = -math.inf
         self.index.update(now, event)
-        self.attempts.retry_parked(now)
+        self.attempts.retry_queued(now)
 
     def _in_service(self, now: float, event: it.InService) -> None:
         self.in_service = event.on
@@ -147,7 +147,7 @@
         self.timers.after(now, PERIOD_MS, self._period)
         self.attempts.hold_timers.begin_period(now, now + PERIOD_MS, self.open.values())
         self.index.begin_period(now)
-        since = max(self.tiers.marked_at, self.host_choice.evidence_since)
-        self.tiers.roll(now, self.host_choice.open_attempts(), self.attempts.overdue(now, since))
+        since = max(self.tiers.marked_at, self.host_selector.evidence_since)
+        self.tiers.roll(now, self.host_selector.open_attempts(), self.attempts.overdue(now, since))
         if self.rng.random() < FORGET_SHARE:
             self.meter.forget_idle(now)
--- a/rainturn/decisions/hosts.py
+++ b/rainturn/decisions/hosts.py
@@ -3,7 +3,7 @@
 import math
 
 from rainturn import interface as it
-from rainturn.component import Component, Shared
+from rainturn.component import Component, SharedState
 from rainturn.decisions.admission import Tiers
 from rainturn.host_index import HostIndex
 from rainturn.interface import Outcome
@@ -24,10 +24,10 @@
 LATENCY_GAIN = 0.1  # weight of a new answer's time
 
 
-class Hosts(Component):
+class HostSelector(Component):
     """Chooses hosts and learns of them."""
 
-    def __init__(self, shared: Shared, tiers: Tiers) -> None:
+    def __init__(self, shared: SharedState, tiers: Tiers) -> None:
         super().__init__(shared)
         self.tiers = tiers
         self.rules = self.settings.rules
@@ -39,9 +39,9 @@
         """Attempts out at hosts that are not suspect."""
         return sum(h.open_attempts for h in self.index.loaded() if h.failures < SUSPECT_FAILURES)
 
-    def skipped(self) -> int:
+    def skipped_count(self) -> int:
         """How many listed hosts get no ordinary traffic: they drain, or are suspect."""
-        return sum(not host.ready or host.failures >= SUSPECT_FAILURES for host in self.index.listed())
+        return sum(not host.is_ready or host.failures >= SUSPECT_FAILURES for host in self.index.listed())
 
     def warmth(self, now: float, host: Host) -> float:
         """Share of its capacity that a host has at least, by its age."""
@@ -123,12 +123,12 @@
             host.heard_at = now
         elif outcome is Outcome.OK and request is not None:
             usual, target_ms = self.answer_times[request.class_index], max(1.0, request.request_class.aim_ms)
-            self.answered(now, host, event.elapsed / max(1.0, usual.mean))
+            self.record_answer(now, host, event.elapsed / max(1.0, usual.mean))
             usual.add(event.elapsed)
             late = now - request.arrived_at > target_ms
             self.tiers.note(host.id, sent_at, True, late, event.elapsed / target_ms)
         elif outcome in (Outcome.FULL, Outcome.ERROR):
-            self.answered(now, host, FULL_SLOWNESS if outcome is Outcome.FULL else SLOWEST)
+            self.record_answer(now, host, FULL_SLOWNESS if outcome is Outcome.FULL else SLOWEST)
         elif outcome is Outcome.RESET:
             self._reset(now, host)
         elif outcome in (Outcome.TIMEOUT, Outcome.UNREACHABLE):
@@ -138,22 +138,22 @@
         if not host.open_attempts:
             host.waiting_since = now
 
-    def answered(self, now: float, host: Host, ratio: float) -> None:
+    def record_answer(self, now: float, host: Host, ratio: float) -> None:
         """Learn from an answer's time against the usual. After long silence the host may be cold again."""
         if host.failures >= SUSPECT_FAILURES:
-            host.latency = 1.0  # what made it suspect is over: old failures would starve a well host
+            host.latency_ratio = 1.0  # what made it suspect is over: old failures would starve a well host
             if now - host.failing_since > COLD_AFTER * self.rules.fall_ms:
                 self.index.restarted(now, host)
         host.failures = host.resets = 0
         host.heard_at = host.waiting_since = now
         slowness = host.slowness(now)
-        host.latency, host.latency_at = slowness + LATENCY_GAIN * (min(ratio, SLOWEST) - slowness), now
+        host.latency_ratio, host.latency_at = slowness + LATENCY_GAIN * (min(ratio, SLOWEST) - slowness), now
 
     def failed(self, now: float, host: Host) -> None:
         """Learn from an attempt without an answer."""
         host.failing_since = host.failing_since if host.failures else now
         host.failures += 1
-        host.latency, host.latency_at = min(SLOWEST, max(host.latency, 1.0) * 2), now
+        host.latency_ratio, host.latency_at = min(SLOWEST, max(host.latency_ratio, 1.0) * 2), now
 
     def _reset(self, now: float, host: Host) -> None:
         """A broken connection says little of the host: one that died refuses the next connect.
--- a/rainturn/decisions/metering.py
+++ b/rainturn/decisions/metering.py
@@ -4,7 +4,7 @@
 
 from rainturn import interface as it
 from rainturn.averages import PassShare
-from rainturn.component import Component, Shared
+from rainturn.component import Component, SharedState
 from rainturn.counts import units_name
 from rainturn.decisions import quota
 from rainturn.decisions.attempts import Attempts
@@ -19,7 +19,9 @@
 class QuotaMeter(Component):
     """Decides on the requests of customers whose plan has a rate."""
 
-    def __init__(self, shared: Shared, attempts: Attempts, slots: Slots, calls: quota.CounterCalls) -> None:
+    def __init__(
+        self, shared: SharedState, attempts: Attempts, slots: Slots, calls: quota.CounterCalls
+    ) -> None:
         super().__init__(shared)
         self.attempts, self.slots, self.calls = attempts, slots, calls
         self.customers: dict[int, Customer] = {}
@@ -100,7 +102,7 @@
         return quota.would_take(customer, request.units) and self.rng.random() < share
 
     def _admit(self, now: float, request: PendingRequest, customer: Customer, admitted: bool) -> None:
-        request.charged = admitted
+        request.is_refundable = admitted
         if admitted:
             self.slots.start(now, request)
         else:
--- a/rainturn/decisions/quota.py
+++ b/rainturn/decisions/quota.py
@@ -8,7 +8,7 @@
 
 from rainturn import interface as it
 from rainturn.averages import FadingAverage
-from rainturn.component import Component, Shared
+from rainturn.component import Component, SharedState
 from rainturn.counts import units_name
 from rainturn.records import CounterCall, Customer, PendingRequest
 
@@ -206,7 +206,7 @@
 class CounterCalls(Component):
     """Makes the calls, at most one a customer at a time, and fewer while the counter is slow or fails."""
 
-    def __init__(self, shared: Shared) -> None:
+    def __init__(self, shared: SharedState) -> None:
         super().__init__(shared)
         self.enabled = self.settings.counter
         self.load = FadingAverage(0.2, LOAD_MEMORY_MS)  # answer times, in time-outs
--- a/rainturn/decisions/slots.py
+++ b/rainturn/decisions/slots.py
@@ -1,9 +1,9 @@
 """Caps on a customer's open attempts, over all gateways by a shared count."""
 
 from rainturn import interface as it
-from rainturn.component import Component, Shared
+from rainturn.component import Component, SharedState
 from rainturn.counts import SlotDigits, slots_name
-from rainturn.decisions.attempts import HOLD_SHARE, RECHECK_MS, Attempts
+from rainturn.decisions.attempts import MAX_HOLD_SHARE, RECHECK_MS, Attempts
 from rainturn.decisions.quota import CounterCalls
 from rainturn.records import Customer, PendingRequest, SlotCall
 
@@ -14,7 +14,7 @@
 class Slots(Component):
     """Grants the slots of customers whose plan caps their open attempts."""
 
-    def __init__(self, shared: Shared, attempts: Attempts, calls: CounterCalls) -> None:
+    def __init__(self, shared: SharedState, attempts: Attempts, calls: CounterCalls) -> None:
         super().__init__(shared)
         self.attempts, self.calls = attempts, calls
         self.digits = SlotDigits(self.settings)
@@ -27,7 +27,7 @@
             return self.attempts.send_first(now, request)
         turns = len(customer.slot_queue) / max(1, customer.open_attempts)
         wait_ms = turns * self.answer_times[request.class_index].mean
-        if wait_ms > HOLD_SHARE * request.request_class.aim_ms:
+        if wait_ms > MAX_HOLD_SHARE * request.request_class.aim_ms:
             return self.attempts.refuse(now, request, wait_ms)  # it would be refused only later
         customer.slot_queue.append(request)
         self.attempts.hold(now, request)
--- a/rainturn/host_index.py
+++ b/rainturn/host_index.py
@@ -120,7 +120,7 @@
         if event.kind is not it.ListKind.DELTA:
             for number in hosts.keys() - {entry.host for entry in event.entries}:
                 host = hosts[number]
-                host.ready, host.gone = False, True
+                host.is_ready, host.is_gone = False, True
                 self._place(now, host)
         for entry in event.entries:
             number, zone, cell, state, size, started, _ = entry
@@ -134,8 +134,8 @@
                 or known.cell != cell
                 or known.size != size
                 or known.is_restart(started)
-                or known.ready is not (state is it.HostState.READY)
-                or known.gone is not (state is it.HostState.GONE)
+                or known.is_ready is not (state is it.HostState.READY)
+                or known.is_gone is not (state is it.HostState.GONE)
             ):
                 known.update(entry, now, self.ages)
                 self._place(now, known)
@@ -145,22 +145,22 @@
 
     def _place(self, now: float, host: Host) -> None:
         """Put a host where it belongs by now."""
-        if host.in_ring is host.gone:
-            (self.ring.remove if host.gone else self.ring.add)(host)
-            host.in_ring = not host.gone
-        if host.gone:
+        if host.in_ring is host.is_gone:
+            (self.ring.remove if host.is_gone else self.ring.add)(host)
+            host.in_ring = not host.is_gone
+        if host.is_gone:
             self.leaving[host.id] = host
         else:
             self.leaving.pop(host.id, None)
         was, standing = host.standing, Standing.NOT_READY
-        if host.ready:
+        if host.is_ready:
             standing = Standing.COLD if self.warmth(now, host) < 1.0 else Standing.WARM
         if was is Standing.WARM and standing is not Standing.WARM:
             self.ready.remove(host)
         elif was is Standing.COLD and self.new_cold.pop(host.id, None) is None:
             self.cold.remove(host)
-        self.sizes += (host.size if host.ready else 0.0) - host.counted_size
-        host.counted_size = host.size if host.ready else 0.0
+        self.sizes += (host.size if host.is_ready else 0.0) - host.counted_size
+        host.counted_size = host.size if host.is_ready else 0.0
         host.standing = standing
         if standing is Standing.COLD:
             self.new_cold[host.id] = host
@@ -187,7 +187,7 @@
 
     def forget_if_gone(self, host: Host) -> None:
         """Drop a host that has left the list once its last attempt has ended."""
-        if host.gone and not host.open_attempts:
+        if host.is_gone and not host.open_attempts:
             del self.hosts[host.id]
             del self.leaving[host.id]
             self.used.pop(host.id, None)
@@ -198,7 +198,7 @@
         self._place(now, host)
         self._settle(now)
 
-    def replace_all(self, now: float) -> None:
+    def reclassify_all(self, now: float) -> None:
         """Put each host where it belongs: the ages of many have changed."""
         for host in list(self.hosts.values()):
             self._place(now, host)
--- a/rainturn/node/assembly.py
+++ b/rainturn/node/assembly.py
@@ -79,8 +79,8 @@
             names.classes,
             {
                 "in_progress": node.in_progress(),
-                "known_hosts": node.module.listed(),
-                "skipped_hosts": node.module.skipped(),
+                "known_hosts": node.module.listed_count(),
+                "skipped_hosts": node.module.skipped_count(),
             },
         )
 
--- a/rainturn/node/gateway.py
+++ b/rainturn/node/gateway.py
@@ -83,7 +83,7 @@
 
     def ready(self) -> bool:
         """Whether clients should come: as the module says, once a first list that comes in parts is whole."""
-        return not self.list_incomplete and self.module.ready(self.clock.now())
+        return not self.list_incomplete and self.module.is_ready(self.clock.now())
 
     # Events in, actions out.
 
--- a/rainturn/records.py
+++ b/rainturn/records.py
@@ -35,12 +35,12 @@
         "zone",
         "cell",
         "size",
-        "ready",
-        "gone",
+        "is_ready",
+        "is_gone",
         "started",
         "listed_start",
         "open_attempts",
-        "latency",
+        "latency_ratio",
         "latency_at",
         "heard_at",
         "waiting_since",
@@ -57,7 +57,7 @@
         self.id = entry.host
         self.order = entry.order or entry.host * HASH_FACTOR % (1 << 32)
         self.open_attempts = 0  # those that are load: their requests are whole and no answer has begun
-        self.latency = 1.0  # time of its answers against the usual one
+        self.latency_ratio = 1.0  # time of its answers against the usual one
         self.latency_at = now
         self.heard_at = now  # its last answer
         self.waiting_since = now  # since when it has had work and not answered
@@ -77,8 +77,8 @@
         self.zone = entry.zone
         self.cell = entry.cell
         self.size = entry.size
-        self.ready = entry.state is it.HostState.READY
-        self.gone = entry.state is it.HostState.GONE
+        self.is_ready = entry.state is it.HostState.READY
+        self.is_gone = entry.state is it.HostState.GONE
         if self.is_restart(entry.started):
             self.listed_start = entry.started
             self.started = max(self.started, ages.started_at(now, entry))
@@ -90,7 +90,7 @@
 
     def slowness(self, now: float) -> float:
         """Time of its answers against the usual one; without news this fades to 1."""
-        return 1 + (self.latency - 1) * math.exp(-(now - self.latency_at) / LATENCY_MEMORY_MS)
+        return 1 + (self.latency_ratio - 1) * math.exp(-(now - self.latency_at) / LATENCY_MEMORY_MS)
 
     def add_load(self, now: float) -> None:
         """One more attempt is load here; its silence counts from the first of them."""
@@ -136,7 +136,7 @@
         "attempts",
         "bound",
         "moving",
-        "charged",
+        "is_refundable",
         "whole",
         "passed_on",
         "held_until",
@@ -155,7 +155,7 @@
         self.attempts: list[Attempt] = []  # by number
         self.bound = False  # to its attempt: no other may follow
         self.moving = False  # its attempt was given up, and another one replaces it
-        self.charged = False  # whether its units are taken and no attempt has come whole to a host
+        self.is_refundable = False  # whether its units are taken and no attempt has come whole to a host
         self.whole = event.whole
         self.passed_on = not event.whole  # as it comes: it can't be moved to another host
         self.held_until = math.inf  # where no timer watches that yet
--- a/rainturn/state.py
+++ b/rainturn/state.py
@@ -16,7 +16,7 @@
 VERSION = 2  # raised with each change of the fields or of their meaning
 
 HOST_FIELDS: dict[str, type] = {
-    "latency": float,
+    "latency_ratio": float,
     "latency_at": float,
     "failures": int,
     "resets": int,
@@ -121,8 +121,8 @@
     tiers.usual[:] = state.usual_arrivals
     tiers.marked_at = now if tiers.capacity else -math.inf
     tiers.periods = 1
-    gateway.settled_at = now + SETTLE_MS
-    gateway.index.replace_all(now)
+    gateway.ready_after = now + SETTLE_MS
+    gateway.index.reclassify_all(now)
 
 
 def _read(saved: Mapping[str, Any], settings: it.Settings, tiers: int) -> CheckedState:
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -54,10 +54,15 @@
         return actions
 
     def arrive(
-        self, kind: int = 0, customer: int = 1, plan: int = 0, spread: float = 2.0, patience: float = 5000.0
+        self,
+        kind: int = 0,
+        customer: int = 1,
+        plan: int = 0,
+        spread: float = 2.0,
+        time_limit_ms: float = 5000.0,
     ) -> tuple[int, list[it.Action]]:
         self.serial += 1
-        event = it.Arrived(self.serial, self.now + patience, customer, plan, kind, 1.0, spread)
+        event = it.Arrived(self.serial, self.now + time_limit_ms, customer, plan, kind, 1.0, spread)
         return self.serial, self.feed(event)
 
     def end(
--- a/tests/sockets.py
+++ b/tests/sockets.py
@@ -347,7 +347,7 @@
         held: dict[str, list[Any]] = {
             "clients": [self.parts.clients.connections, *self.parts.clients.timeouts.states],
             "requests": [node.requests, node.request_ids, node.unanswered, node.held_bytes],
-            "module": [attempts.open, attempts.parked, attempts.ended],
+            "module": [attempts.open, attempts.queued, attempts.ended],
             "customers": [(c.open_attempts, c.waiting, c.slot_queue) for c in module.customers.values()],
             "hosts": [host.open_attempts for host in module.hosts.values()],
             "pools": [pools.connecting, *((p.connecting, p.waiting) for p in pools.pools.values())],
--- a/tests/test_emulator_services.py
+++ b/tests/test_emulator_services.py
@@ -73,14 +73,14 @@
         client = Discovery(node, pools, tuple(zone_names()), address, 1)
         client.start()
         await until(lambda: client.seq == 1)
-        assert node.module.listed() == 30
+        assert node.module.listed_count() == 30
         await soon(service.watched(1))
         service.change([lines[0].with_health("terminating")])
         await soon(service.watched(1))
-        assert client.seq == 2 and node.module.skipped() == 1
+        assert client.seq == 2 and node.module.skipped_count() == 1
         service.change([line.with_health(GONE) for line in lines[1:11]])
         await soon(service.watched(1))
-        assert client.seq == 3 and node.module.listed() == 20
+        assert client.seq == 3 and node.module.listed_count() == 20
         traffic = service.traffic["real"]
         assert traffic.whole_lists == 1 and traffic.messages_in >= 4
         await client.stop()
--- a/tests/test_host_index.py
+++ b/tests/test_host_index.py
@@ -301,7 +301,7 @@
     gate, _ = _fleet(1300, 17_000)
     for number in range(40):
         gate.handle(START + 1.0, it.Arrived(number, START + 5000.0, 1, 0, 0))
-    assert 0 < len(gate.index.loaded()) <= 40 and gate.host_choice.open_attempts() == 40
+    assert 0 < len(gate.index.loaded()) <= 40 and gate.host_selector.open_attempts() == 40
 
 
 def test_an_upload_to_a_host_that_was_dropped_meanwhile_is_no_load_of_the_fleet() -> None:
@@ -314,18 +314,18 @@
     assert send.host not in gate.hosts
     gate.handle(START, it.HostList(it.ListKind.DELTA, (_entry(send.host),)))  # another one under its number
     gate.handle(START, it.BodyWhole(1, START + 5000.0))
-    assert gate.host_choice.open_attempts() == 0
+    assert gate.host_selector.open_attempts() == 0
 
 
 def test_load_begins_with_the_last_byte_however_many_periods_the_upload_took() -> None:
     gate = Gateway(CONFIG, 1)
     gate.handle(START, it.HostList(it.ListKind.FULL, (_entry(1),)))
     gate.handle(START, it.Arrived(1, START + 5000.0, 1, 0, 0, whole=False))
-    assert gate.host_choice.open_attempts() == 0 and not gate.index.used
+    assert gate.host_selector.open_attempts() == 0 and not gate.index.used
     gate.handle(START + 10.0, it.BodyWhole(1, START + 5000.0))
-    assert gate.host_choice.open_attempts() == 1
+    assert gate.host_selector.open_attempts() == 1
     gate.handle(START + 20.0, it.AttemptEnded(1, 0, 1, it.Outcome.OK, 10.0, True))
-    assert gate.host_choice.open_attempts() == 0 and not gate.index.used
+    assert gate.host_selector.open_attempts() == 0 and not gate.index.used
 
 
 def test_a_small_cold_host_in_the_first_list_gets_no_more_than_its_part() -> None:
--- a/tests/test_module.py
+++ b/tests/test_module.py
@@ -642,7 +642,7 @@
     moved: list[float] = []
     for tenth in range(14):
         drive.now += 100.0
-        drive.gate.host_choice.answered(drive.now, drive.gate.hosts[silent.host], 1.0)
+        drive.gate.host_selector.record_answer(drive.now, drive.gate.hosts[silent.host], 1.0)
         moved += [tenth for a in of(drive.feed(it.TimerFired(0)), it.Send) if a.request == silent.request]
     assert len(moved) == 1 and moved[0] >= 10, "slow answers are waited for"
     assert drive.gate.hosts[silent.host].failures == 0
@@ -900,7 +900,7 @@
     """Incidents i2cf20c and i915d05: suspects starved, most of a well fleet unused for the rest of a day."""
     drive = Drive(settings(plans=()), fleet=3)
     sick = drive.gate.hosts[2]
-    sick.failures, sick.failing_since, sick.latency = 5, drive.now, 10.0
+    sick.failures, sick.failing_since, sick.latency_ratio = 5, drive.now, 10.0
     tried = 0
     for _ in range(40):
         for send in of(drive.arrive(0)[1], it.Send):
@@ -918,8 +918,8 @@
     for serial, outcome in enumerate(ends, 900):
         drive.feed(it.AttemptEnded(serial, 0, 1, outcome, 1.0, outcome is it.Outcome.OK))
         if outcome is it.Outcome.OK:
-            drive.gate.host_choice.answered(drive.now, host, 1.0)
-    assert host.failures == 0 and host.latency == 1.0
+            drive.gate.host_selector.record_answer(drive.now, host, 1.0)
+    assert host.failures == 0 and host.latency_ratio == 1.0
     for serial in range(2):
         drive.feed(it.AttemptEnded(950 + serial, 0, 1, it.Outcome.RESET, 1.0, False))
     sends = [send for _ in range(20) for send in of(drive.arrive()[1], it.Send)]
@@ -930,19 +930,23 @@
     """Incident i2cf20c: returned hosts kept the slowness of their failures and sat idle."""
     drive = Drive(settings(plans=()), fleet=2)
     back = drive.gate.hosts[2]
-    back.failures, back.failing_since, back.latency = 5, drive.now - 1500.0, 10.0
-    drive.gate.host_choice.answered(drive.now, back, 1.0)
-    assert back.latency < 1.5 and back.failures == 0 and drive.gate.host_choice.warmth(drive.now, back) == 1.0
+    back.failures, back.failing_since, back.latency_ratio = 5, drive.now - 1500.0, 10.0
+    drive.gate.host_selector.record_answer(drive.now, back, 1.0)
+    assert (
+        back.latency_ratio < 1.5
+        and back.failures == 0
+        and drive.gate.host_selector.warmth(drive.now, back) == 1.0
+    )
     back.failures, back.failing_since = 5, drive.now - 9000.0
-    drive.gate.host_choice.answered(drive.now, back, 1.0)
-    assert drive.gate.host_choice.warmth(drive.now, back) < 1.0
+    drive.gate.host_selector.record_answer(drive.now, back, 1.0)
+    assert drive.gate.host_selector.warmth(drive.now, back) < 1.0
 
 
 def test_a_request_without_time_left_is_answered_at_once() -> None:
     """Incident i0b9d50: it arrived at its deadline, waited for a total and ended unanswered (rule 1)."""
     drive = Drive(settings())
     for patience in (0.0, 20.0, 40.0):
-        number, got = drive.arrive(0, patience=patience)
+        number, got = drive.arrive(0, time_limit_ms=patience)
         assert got == [it.Refuse(number)]
 
 
@@ -959,7 +963,7 @@
     drive.end(send, it.Outcome.OK, elapsed=2000.0)
     drive.feed(it.CountAnswered(call.name, it.Outcome.TIMEOUT, 0.0, 2000.0))
     assert not drive.gate.tiers.answers.by_host and drive.gate.calls.load.value == crowd
-    number, got = drive.arrive(0, patience=30.0)
+    number, got = drive.arrive(0, time_limit_ms=30.0)
     assert got == [it.Refuse(number)]
 
 
@@ -1073,7 +1077,7 @@
     zone = drive.gate.hosts[send.host].zone
     drive.feed(it.HostList(it.ListKind.DELTA, (it.HostEntry(send.host, zone, 0, it.HostState.DRAINING),)))
     drive.now += 100.0
-    assert not drive.end(send, it.Outcome.ERROR) or number in drive.gate.attempts.parked
+    assert not drive.end(send, it.Outcome.ERROR) or number in drive.gate.attempts.queued
     assert of(drive.run_for(300.0), it.Fail) == [it.Fail(number)]
     back = drive.feed(it.HostList(it.ListKind.DELTA, (it.HostEntry(9, zone, 0, it.HostState.READY),)))
     assert not of(back + drive.run_for(500.0), it.Send)
--- a/tests/test_node_control.py
+++ b/tests/test_node_control.py
@@ -241,7 +241,11 @@
 
 def test_the_module_skips_suspect_and_draining_hosts_and_is_ready_only_with_a_host() -> None:
     drive = Drive(settings(counter=False, limits=LIMITS), fleet=3)
-    assert (drive.gate.listed(), drive.gate.skipped(), drive.gate.ready(drive.now)) == (3, 0, True)
+    assert (drive.gate.listed_count(), drive.gate.skipped_count(), drive.gate.is_ready(drive.now)) == (
+        3,
+        0,
+        True,
+    )
     for customer in range(40):
         drive.run_for(3000.0)
         # Three at once, so that each host gets one; more come as further attempts.
@@ -249,8 +253,12 @@
         for attempt, send in sends:
             outcome = it.Outcome.UNREACHABLE if send.host == 1 else it.Outcome.OK
             sends += [(attempt + 1, more) for more in of(drive.end(send, outcome, attempt), it.Send)]
-    assert (drive.gate.listed(), drive.gate.skipped()) == (3, 1)
+    assert (drive.gate.listed_count(), drive.gate.skipped_count()) == (3, 1)
     drive.feed(host_list(2, state=it.HostState.DRAINING)._replace(kind=it.ListKind.DELTA))
-    assert (drive.gate.listed(), drive.gate.skipped(), drive.gate.ready(drive.now)) == (3, 2, True)
+    assert (drive.gate.listed_count(), drive.gate.skipped_count(), drive.gate.is_ready(drive.now)) == (
+        3,
+        2,
+        True,
+    )
     drive.feed(host_list(3, state=it.HostState.DRAINING))
-    assert not drive.gate.ready(drive.now)
+    assert not drive.gate.is_ready(drive.now)
--- a/tests/test_node_lists_at_scale.py
+++ b/tests/test_node_lists_at_scale.py
@@ -305,7 +305,7 @@
             assert await client.answer() == b"value"
             assert not intake.done() and discovery.seq == 2
             await soon(intake)
-            assert discovery.seq == 3 and world.parts.node.module.listed() == 17_002
+            assert discovery.seq == 3 and world.parts.node.module.listed_count() == 17_002
 
     run(main())
 
@@ -315,9 +315,9 @@
         async with World(lambda words: served()) as world:
             node, discovery = world.parts.node, world.parts.discovery
             discovery.apply(_list(2, _hosts(300)), cached=True)
-            node.module.settled_at = math.inf  # as after a handover
+            node.module.ready_after = math.inf  # as after a handover
             intake = asyncio.create_task(discovery.take_in(_list(3, _hosts(600))))
-            while not node.module.ready(node.clock.now()):
+            while not node.module.is_ready(node.clock.now()):
                 assert not node.ready()
                 await asyncio.sleep(0)
             while discovery.seq != 3:
@@ -575,7 +575,7 @@
         for name, (state, dial) in model.hosts.items():
             pool, host = pools.pools[numbers[name]], module[numbers[name]]
             assert f"{pool.address[0]}:{pool.address[1]}" == dial and pool.name == name
-            assert (pool.leaving, pool.gone, host.ready, host.gone) == (
+            assert (pool.leaving, pool.gone, host.is_ready, host.is_gone) == (
                 state is not READY,
                 False,
                 state is READY,
--- a/tests/test_node_size.py
+++ b/tests/test_node_size.py
@@ -351,11 +351,11 @@
     drive.now += 100.0
     drive.feed(it.StreamBegan(send.request, 0))
     assert host.open_attempts == 0
-    usual = host.latency
+    usual = host.latency_ratio
     assert not of(drive.run_for(4000.0), it.Cancel) and host.failures == 0  # a value of four seconds
     drive.feed(it.AttemptEnded(send.request, 0, send.host, it.Outcome.OK, 4100.0, True))
     assert (
-        (host.open_attempts, host.latency) == (0, usual)
+        (host.open_attempts, host.latency_ratio) == (0, usual)
         and not drive.gate.open
         and not drive.gate.attempts.ended
     )
--- a/tests/test_node_upgrade.py
+++ b/tests/test_node_upgrade.py
@@ -231,7 +231,7 @@
     for drive in (old, new):
         drive.feed(it.ProcessOverlap(True))
     for drive in (old, new, old, new, new):
-        calls = of(drive.arrive(patience=500.0)[1], it.Count)
+        calls = of(drive.arrive(time_limit_ms=500.0)[1], it.Count)
         while calls:
             call = calls.pop(0)
             total += call.amount
@@ -257,13 +257,13 @@
     restore_state(new.gate, new.now, state)
     assert new.gate.customers[7].level == old.gate.customers[7].level
     assert new.gate.customers[7].window == old.gate.customers[7].window
-    assert new.gate.skipped() == 1
-    assert not new.gate.ready(new.now)  # its list may be old
-    assert new.gate.ready(new.now + 1000.0)
+    assert new.gate.skipped_count() == 1
+    assert not new.gate.is_ready(new.now)  # its list may be old
+    assert new.gate.is_ready(new.now + 1000.0)
     new.feed(
         it.HostList(it.ListKind.FULL, tuple(it.HostEntry(n + 1, 0, 0, it.HostState.READY) for n in range(3)))
     )
-    assert new.gate.ready(new.now)
+    assert new.gate.is_ready(new.now)
 
 
 @pytest.mark.parametrize(
@@ -286,7 +286,7 @@
     before = dict[str, Any](save_state(drive.gate))
     with pytest.raises(StateMismatch):
         restore_state(drive.gate, drive.now, before | change)
-    assert save_state(drive.gate) == before and drive.gate.ready(drive.now)
+    assert save_state(drive.gate) == before and drive.gate.is_ready(drive.now)
 
 
 def test_what_the_count_has_not_heard_is_told_before_the_end() -> None:
