--- a/rainturn/cold_hosts.py
+++ b/rainturn/cold_hosts.py
@@ -1,9 +1,10 @@
-"""Cold hosts laid end to end, each as wide as the share of requests it may get, to be drawn from.
+"""Random selection of cold hosts: each has an interval as wide as the share of requests that it may get.
 
-Nothing here decides: the widths, in even shares of a host, come from outside. They grow while a host warms
-up. What is laid down stays as wide as it was until all are laid down anew, so that a draw never gives a host
-more than it may get: one that leaves, or whose width may have become smaller, leaves a gap and comes anew at
-the end.
+The intervals lie end to end, and a draw selects the host whose interval holds it. This module makes no
+decisions: widths, in multiples of an even share per host, are given by the caller. The share of a host grows
+while it warms up, but its interval keeps its width until all intervals are laid out again, so that a draw
+never gives a host more than it may get. A host that is removed leaves a gap; one whose share may have become
+smaller leaves a gap as well and is added again at the end.
 """
 
 from __future__ import annotations
@@ -15,47 +16,47 @@
 
 
 class ColdHosts:
-    """Adds and removes at a fixed cost, and draws at a few comparisons for each doubling of their number."""
+    """Intervals of cold hosts; adding and removing take constant time, a draw O(log n) comparisons."""
 
     def __init__(self) -> None:
-        self.places: list[Host | None] = []  # None: a gap
-        self.ends: list[float] = []  # where each place ends
-        self.place_of: dict[int, int] = {}  # by host number
-        self.least_mean_size = 0.0  # of those that widths were worked out with; 0: none
+        self.intervals: list[Host | None] = []  # the host of each; None: a gap
+        self.ends: list[float] = []  # the upper bound of each interval
+        self.interval_of: dict[int, int] = {}  # index of the interval, by host number
+        self.least_mean_size = 0.0  # of the mean sizes behind the widths; 0: none
 
     def __len__(self) -> int:
-        return len(self.place_of)
+        return len(self.interval_of)
 
     def hosts(self) -> list[Host]:
-        """All of them, in the order of their places."""
-        return [host for host in self.places if host is not None]
+        """Return all hosts in the order of their intervals."""
+        return [host for host in self.intervals if host is not None]
 
     def add(self, host: Host, width: float, mean_size: float) -> None:
-        """Lay a host down at the end; its width was worked out with the mean size of a host, 0 if unknown."""
-        self.place_of[host.id] = len(self.places)
-        self.places.append(host)
+        """Add a host at the end; `mean_size` is the mean host size behind its width, 0 if unknown."""
+        self.interval_of[host.id] = len(self.intervals)
+        self.intervals.append(host)
         self.ends.append((self.ends[-1] if self.ends else 0.0) + width)
         if not self.least_mean_size or mean_size < self.least_mean_size:
             self.least_mean_size = mean_size
 
     def remove(self, host: Host) -> None:
-        """Leave a gap in place of a host."""
-        self.places[self.place_of.pop(host.id)] = None
+        """Replace a host's interval by a gap."""
+        self.intervals[self.interval_of.pop(host.id)] = None
 
     def replace(self, hosts: list[Host], widths: list[float], mean_size: float) -> None:
-        """Lay just these hosts down, without gaps."""
-        self.places = list[Host | None](hosts)
+        """Replace all intervals by those of these hosts, without gaps."""
+        self.intervals = list[Host | None](hosts)
         self.ends = list(accumulate(widths))
-        self.place_of = {host.id: place for place, host in enumerate(hosts)}
+        self.interval_of = {host.id: interval for interval, host in enumerate(hosts)}
         self.least_mean_size = mean_size
 
-    def at(self, position: float, mean_size: float) -> Host | None:
-        """The host at a position.
+    def host_at(self, position: float, mean_size: float) -> Host | None:
+        """Return the host whose interval holds a position, or None in a gap or beyond the end.
 
-        Where hosts are larger by now than when widths were worked out each of these may be too wide by as
-        much; then all are drawn as if they were narrower.
+        If the mean size has grown since the widths were computed, intervals may be too wide by that factor;
+        all of them then count as narrower by it.
         """
         if self.least_mean_size and mean_size > self.least_mean_size:
             position *= mean_size / self.least_mean_size
-        place = bisect_right(self.ends, position)
-        return self.places[place] if place < len(self.places) else None
+        interval = bisect_right(self.ends, position)
+        return self.intervals[interval] if interval < len(self.intervals) else None
--- a/rainturn/decisions/__init__.py
+++ b/rainturn/decisions/__init__.py
@@ -1,4 +1,4 @@
-"""Every decision of a gateway. Types, events and actions: rainturn/interface.py. Why: docs/findings/."""
+"""All decisions of a gateway. Types, events and actions: rainturn/interface.py. Reasons: docs/findings/."""
 
 from rainturn.decisions.gateway import Gateway
 
--- a/rainturn/decisions/gateway.py
+++ b/rainturn/decisions/gateway.py
@@ -1,4 +1,4 @@
-"""The event loop of a gateway: hands each event to the part that decides on it."""
+"""The decision module's entry point: passes each event to the component that decides on it."""
 
 import math
 from collections.abc import Callable
@@ -15,12 +15,12 @@
 from rainturn.decisions.slots import Slots
 from rainturn.records import PendingRequest
 
-STALL_MS = 200.0  # a timer this late shows that the gateway itself stalled: times measured are its own
-FORGET_SHARE = 1 / 6  # of the periods in which idle customers are looked for
+STALL_MS = 200.0  # a timer this late shows that the gateway itself stalled: the times it measured are its own
+IDLE_CHECK_PROBABILITY = 1 / 6  # that a period looks for idle customers
 
 
 class Gateway(Component):
-    """One gateway: hand it each event with the time, carry out the actions that it returns."""
+    """One gateway: `handle` takes each event with its time and returns the actions to carry out."""
 
     def __init__(self, settings: it.Settings, seed: int) -> None:
         shared = SharedState(settings, seed)
@@ -33,30 +33,30 @@
         self.meter = QuotaMeter(shared, self.attempts, self.slots, self.calls)
         self.index = self.host_selector.index
         self.open, self.hosts, self.customers = self.attempts.open, self.index.hosts, self.meter.customers
-        self.begun, self.in_service = False, True
-        self.ready_after = -math.inf  # after a handover: waits so long for a fresh list
+        self.has_started, self.in_service = False, True
+        self.ready_after = -math.inf  # set after a handover: until then it waits for a fresh host list
         self._handlers: dict[type[it.Event], Callable[[float, Any], Any]] = {
-            it.Arrived: self._arrived,
-            it.BodyWhole: self.attempts.body_whole,
-            it.StreamBegan: self.attempts.answer_began,
-            it.AttemptEnded: self._attempt_ended,
-            it.RequestGone: self.attempts.client_left,
-            it.CountAnswered: self._count_answered,
+            it.Arrived: self._on_arrived,
+            it.BodyWhole: self.attempts.on_body_complete,
+            it.StreamBegan: self.attempts.on_answer_began,
+            it.AttemptEnded: self._on_attempt_ended,
+            it.RequestGone: self.attempts.on_client_left,
+            it.CountAnswered: self._on_count_answered,
             it.TimerFired: lambda now, event: self.timers.run_due(now),
-            it.HostList: self._host_list,
-            it.InService: self._in_service,
-            it.ProcessOverlap: self._process_overlap,
-            it.ShuttingDown: self._shutting_down,
+            it.HostList: self._on_host_list,
+            it.InService: self._on_in_service,
+            it.ProcessOverlap: self._on_process_overlap,
+            it.ShuttingDown: self._on_shutting_down,
         }
 
     def handle(self, now: float, event: it.Event) -> list[it.Action]:
-        """Decide on one event."""
+        """Handle one event and return the resulting actions."""
         self.actions.clear()
-        if not self.begun:
-            self._begin(now)
+        if not self.has_started:
+            self._start(now)
         if now > self.timers.armed_for + STALL_MS:
-            # Guards against taking an own stall for slow or dead hosts or a slow counter: what was sent
-            # before now is no evidence. Harm: a true outage in the same moment is seen later.
+            # A stall of this gateway must not look like slow or dead hosts or a slow counter: what was sent
+            # before now is no evidence. The cost is that a real outage at the same moment is noticed later.
             self.host_selector.evidence_since = self.timers.armed_for = now
         handler = self._handlers.get(type(event))
         if handler is not None:
@@ -64,44 +64,44 @@
         return self.actions.copy()
 
     def is_ready(self, now: float) -> bool:
-        """Whether clients should come: in service and settled, with a host to send to."""
-        return self.in_service and now >= self.ready_after and self.index.any_ready()
+        """Return whether clients should connect: in service, past `ready_after`, with a host to send to."""
+        return self.in_service and now >= self.ready_after and self.index.has_ready_host()
 
     def listed_count(self) -> int:
-        """How many hosts the list holds."""
+        """Return how many hosts the list holds."""
         return len(self.index.listed())
 
     def skipped_count(self) -> int:
-        """How many listed hosts get no ordinary traffic: they drain, or are suspect."""
+        """Return how many listed hosts get no ordinary traffic because they drain or are suspect."""
         return self.host_selector.skipped_count()
 
-    def _begin(self, now: float) -> None:
-        self.begun, self.meter.started = True, now
-        ends = now + PERIOD_MS * (0.5 + self.rng.random())  # gateways out of step
+    def _start(self, now: float) -> None:
+        self.has_started, self.meter.started = True, now
+        ends = now + PERIOD_MS * (0.5 + self.rng.random())  # so that gateways' periods do not coincide
         self.attempts.hold_timers.period_ends = ends
-        self.timers.after(now, ends - now, self._period)
+        self.timers.after(now, ends - now, self._on_period)
         self._watch_list()
 
     def _watch_list(self) -> None:
         if self.settings.asks_for_list:
             self.actions.append(it.WatchList(True))
 
-    def _arrived(self, now: float, event: it.Arrived) -> None:
-        """Quota first, then the tiers, then the ceiling; what fails one is refused at once."""
+    def _on_arrived(self, now: float, event: it.Arrived) -> None:
+        """Check a new request against the tiers, then the quota; refuse it at once if either denies it."""
         if not 0 <= event.request_class < len(self.settings.classes):
             return self.actions.append(it.Refuse(event.request))
-        klass = self.settings.classes[event.request_class]
-        request = PendingRequest(event, now, klass, self.rng.random())
+        request_class = self.settings.classes[event.request_class]
+        request = PendingRequest(event, now, request_class, self.rng.random())
         self.open[request.id] = request
-        if request.deadline <= now + 2 * RECHECK_MS:  # held, it would end unanswered
+        if request.deadline <= now + 2 * RECHECK_MS:  # if held, it would end unanswered
             return self.attempts.refuse(now, request)
         customer, price, weight = None, 1.0, 1.0
         if 0 <= event.plan < len(self.settings.plans):
             customer = request.customer = self.meter.customer(now, event)
             price, weight = customer.plan.price, self.meter.weight(customer, event.plan)
-        tier = self.tiers.of(klass.worth * price)
+        tier = self.tiers.of(request_class.worth * price)
         if not self.tiers.admit(tier, weight):
-            # The boundary tier has a new budget next period; when lower tiers are let in again is not known.
+            # The boundary tier has a new budget next period; when lower tiers are admitted is not known.
             left_ms = max(0.0, self.attempts.hold_timers.period_ends - now)
             self.attempts.refuse(now, request, left_ms if tier == self.tiers.cut else 0.0)
         elif customer is None or not customer.plan.rate:
@@ -109,21 +109,21 @@
         else:
             self.meter.meter(now, request, customer)
 
-    def _attempt_ended(self, now: float, event: it.AttemptEnded) -> None:
-        customer = self.attempts.attempt_ended(now, event)
+    def _on_attempt_ended(self, now: float, event: it.AttemptEnded) -> None:
+        customer = self.attempts.on_attempt_ended(now, event)
         if customer is not None:
             self.slots.serve(now, customer)
 
-    def _count_answered(self, now: float, event: it.CountAnswered) -> None:
+    def _on_count_answered(self, now: float, event: it.CountAnswered) -> None:
         if now - event.elapsed >= self.host_selector.evidence_since:
             self.calls.note_answer(event)
         customer = self.customers.get(customer_key(event.name))
         if customer is not None:
-            part = self.slots if is_slots_name(event.name) else self.meter
-            part.answered(now, event, customer)
+            component = self.slots if is_slots_name(event.name) else self.meter
+            component.answered(now, event, customer)
 
-    def _host_list(self, now: float, event: it.HostList) -> None:
-        """Follow the list. Draining and gone hosts get nothing from here on, re-attempts included."""
+    def _on_host_list(self, now: float, event: it.HostList) -> None:
+        """Apply the host list; draining and gone hosts get nothing from here on, not even repeats."""
         if event.kind is it.ListKind.FAILED:
             return self._watch_list()
         if event.kind is not it.ListKind.CACHED:
@@ -131,23 +131,23 @@
         self.index.update(now, event)
         self.attempts.retry_queued(now)
 
-    def _in_service(self, now: float, event: it.InService) -> None:
+    def _on_in_service(self, now: float, event: it.InService) -> None:
         self.in_service = event.on
 
-    def _process_overlap(self, now: float, event: it.ProcessOverlap) -> None:
+    def _on_process_overlap(self, now: float, event: it.ProcessOverlap) -> None:
         self.slots.processes_overlap = event.on
 
-    def _shutting_down(self, now: float, event: it.ShuttingDown) -> None:
+    def _on_shutting_down(self, now: float, event: it.ShuttingDown) -> None:
         for customer in self.customers.values():
             if self.settings.counter and abs(customer.unreported) >= 0.5:
-                self.calls.call(now, customer)  # else the count never hears of it
+                self.calls.call(now, customer)  # otherwise the counter never receives these units
 
-    def _period(self, now: float) -> None:
-        """The paper's step, looked for every period, and what grows old."""
-        self.timers.after(now, PERIOD_MS, self._period)
+    def _on_period(self, now: float) -> None:
+        """Run the paper's admission step, and update what changes with age."""
+        self.timers.after(now, PERIOD_MS, self._on_period)
         self.attempts.hold_timers.begin_period(now, now + PERIOD_MS, self.open.values())
         self.index.begin_period(now)
         since = max(self.tiers.marked_at, self.host_selector.evidence_since)
-        self.tiers.roll(now, self.host_selector.open_attempts(), self.attempts.overdue(now, since))
-        if self.rng.random() < FORGET_SHARE:
+        self.tiers.roll(now, self.host_selector.open_attempts(), self.attempts.overdue_count(now, since))
+        if self.rng.random() < IDLE_CHECK_PROBABILITY:
             self.meter.forget_idle(now)
--- a/rainturn/records.py
+++ b/rainturn/records.py
@@ -1,6 +1,6 @@
-"""Plain state that the decisions keep: hosts, requests and their attempts, customers, calls that are out.
+"""State of the decision module: hosts, requests and their attempts, customers, and open counter calls.
 
-Nothing here decides. Times are milliseconds, all on the clock that `Gateway.handle` is given.
+This module makes no decisions. Times are milliseconds on the clock whose time `Gateway.handle` receives.
 """
 
 from __future__ import annotations
@@ -13,13 +13,13 @@
 from rainturn import interface as it
 from rainturn.host_ages import LONG_AGO, HostAges
 
-IDLE_MS = 120_000.0  # a customer without a rate that is unseen for this long is forgotten
-LATENCY_MEMORY_MS = 3000.0  # without news a host's slowness fades to the usual over this
-HASH_FACTOR = 2654435761  # spreads host numbers over 32 bits: the order has nothing to do with zone or age
+IDLE_MS = 120_000.0  # a customer whose plan has no rate is forgotten after this long without a request
+LATENCY_MEMORY_MS = 3000.0  # time constant with which slowness returns to 1 if there are no answers
+HASH_FACTOR = 2654435761  # spreads host numbers over 32 bits, so that the order does not follow zone or age
 
 
-class Standing(enum.Enum):
-    """Where a host stands among those that may be used."""
+class WarmupState(enum.Enum):
+    """Whether a host may be used, and whether it is cold or warm."""
 
     NOT_READY = "not ready"
     COLD = "cold"
@@ -27,7 +27,7 @@
 
 
 class Host:
-    """What this gateway knows of one host from the list and from its own attempts."""
+    """One host, as known from the host list and from this gateway's own attempts."""
 
     __slots__ = (
         "id",
@@ -42,38 +42,38 @@
         "open_attempts",
         "latency_ratio",
         "latency_at",
-        "heard_at",
+        "last_answer_at",
         "waiting_since",
         "tried_at",
         "failures",
         "resets",
         "failing_since",
-        "in_ring",
-        "standing",
+        "is_in_ring",
+        "warmup_state",
         "counted_size",
     )
 
     def __init__(self, entry: it.HostEntry, now: float, ages: HostAges) -> None:
         self.id = entry.host
         self.order = entry.order or entry.host * HASH_FACTOR % (1 << 32)
-        self.open_attempts = 0  # those that are load: their requests are whole and no answer has begun
-        self.latency_ratio = 1.0  # time of its answers against the usual one
+        self.open_attempts = 0  # those that are load: complete requests whose answer has not begun
+        self.latency_ratio = 1.0  # smoothed answer time relative to the usual one, as of `latency_at`
         self.latency_at = now
-        self.heard_at = now  # its last answer
-        self.waiting_since = now  # since when it has had work and not answered
+        self.last_answer_at = now
+        self.waiting_since = now  # since when it has had load without answering
         self.tried_at = now  # the last attempt
         self.failures = 0  # in a row
-        self.resets = 0  # connections broken in a row
-        self.failing_since = 0.0
-        self.started = LONG_AGO  # on this gateway's clock
-        self.listed_start = LONG_AGO  # as the list says, by whatever clock
-        self.in_ring = False  # these three are kept by the index of hosts
-        self.standing = Standing.NOT_READY
+        self.resets = 0  # broken connections in a row
+        self.failing_since = 0.0  # the first of the failures
+        self.started = LONG_AGO  # start time on this gateway's clock
+        self.listed_start = LONG_AGO  # start time in the host list, which may be by another clock
+        self.is_in_ring = False  # this field and the next two are maintained by `HostIndex`
+        self.warmup_state = WarmupState.NOT_READY
         self.counted_size = 0.0
         self.update(entry, now, ages)
 
     def update(self, entry: it.HostEntry, now: float, ages: HostAges) -> None:
-        """Take over a line of the list; another start under the old number makes the host cold again."""
+        """Apply an entry of the host list; a new start under the same number makes the host cold again."""
         self.zone = entry.zone
         self.cell = entry.cell
         self.size = entry.size
@@ -85,44 +85,44 @@
             self.failures = 0
 
     def is_restart(self, listed_start: float) -> bool:
-        """Whether the list tells another start; an earlier one is another, too, as clocks may be set back."""
+        """Return whether the list gives another start time, even an earlier one: clocks may be set back."""
         return listed_start not in (LONG_AGO, self.listed_start)
 
     def slowness(self, now: float) -> float:
-        """Time of its answers against the usual one; without news this fades to 1."""
+        """Return the answer time relative to the usual one, which returns to 1 if there are no answers."""
         return 1 + (self.latency_ratio - 1) * math.exp(-(now - self.latency_at) / LATENCY_MEMORY_MS)
 
     def add_load(self, now: float) -> None:
-        """One more attempt is load here; its silence counts from the first of them."""
+        """Count one more attempt as load; the host's silence is measured from the first one."""
         if not self.open_attempts:
             self.waiting_since = now
         self.open_attempts += 1
 
     def drop_load(self, is_load: bool = True) -> None:
-        """An attempt has ended or its answer begun: it is load no more."""
+        """Stop counting an attempt as load, once it has ended or its answer has begun."""
         self.open_attempts = max(0, self.open_attempts - is_load)
 
 
 class Attempt:
     """One attempt of a request at a host."""
 
-    __slots__ = ("host", "sent_at", "out", "may_have_run", "is_load")
+    __slots__ = ("host", "sent_at", "is_open", "may_have_run", "is_load")
 
     def __init__(self, host: Host, now: float, is_load: bool) -> None:
         self.host = host
-        self.sent_at = now  # or when the request's last byte came, if that was later
-        self.out = True
-        self.may_have_run = True  # until it is proved that it has not
-        self.is_load = is_load  # False: the request is still on its way, or the answer has begun
+        self.sent_at = now  # or when the request's last byte arrived, if that was later
+        self.is_open = True
+        self.may_have_run = True  # until it is proven that the host has not run the request
+        self.is_load = is_load  # False while the request is incomplete and once the answer has begun
 
     def end_load(self) -> None:
-        """Its answer has begun."""
+        """Stop counting the attempt as load, since its answer has begun."""
         self.is_load = False
         self.host.drop_load()
 
 
 class PendingRequest:
-    """One request, until its last attempt has ended."""
+    """One request, from its arrival until its last attempt has ended."""
 
     __slots__ = (
         "id",
@@ -134,59 +134,61 @@
         "units",
         "customer",
         "attempts",
-        "bound",
-        "moving",
+        "is_bound",
+        "is_moving",
         "is_refundable",
-        "whole",
-        "passed_on",
+        "is_complete",
+        "is_streamed",
         "held_until",
-        "draw",
+        "cold_draw",
     )
 
-    def __init__(self, event: it.Arrived, now: float, request_class: it.RequestClass, draw: float) -> None:
+    def __init__(
+        self, event: it.Arrived, now: float, request_class: it.RequestClass, cold_draw: float
+    ) -> None:
         self.id = event.request
         self.deadline = event.deadline
-        self.arrived_at = now  # or when its last byte came
+        self.arrived_at = now  # or when its last byte arrived
         self.class_index = event.request_class
         self.request_class = request_class
         self.plan = event.plan
         self.units = event.units
         self.customer: Customer | None = None
-        self.attempts: list[Attempt] = []  # by number
-        self.bound = False  # to its attempt: no other may follow
-        self.moving = False  # its attempt was given up, and another one replaces it
-        self.is_refundable = False  # whether its units are taken and no attempt has come whole to a host
-        self.whole = event.whole
-        self.passed_on = not event.whole  # as it comes: it can't be moved to another host
-        self.held_until = math.inf  # where no timer watches that yet
-        self.draw = draw  # one draw for cold hosts, however often a held request looks for a host
-
-    def anchor(self) -> Attempt | None:
-        """The first attempt that may have run: repeats of keyed requests are bound to it."""
+        self.attempts: list[Attempt] = []  # by attempt number
+        self.is_bound = False  # to its current attempt: no other may follow
+        self.is_moving = False  # its attempt was given up, and another one replaces it
+        self.is_refundable = False  # its units were taken, but no attempt has completely reached a host
+        self.is_complete = event.whole  # its last byte has arrived
+        self.is_streamed = not event.whole  # forwarded as it arrives: cannot be moved to another host
+        self.held_until = math.inf  # when to give it up if not sent; inf: not held, or a timer is set
+        self.cold_draw = cold_draw  # drawn once, so that a held request gets no further chance of a cold host
+
+    def first_run(self) -> Attempt | None:
+        """Return the first attempt that may have run, to which repeats of keyed requests are bound."""
         for attempt in self.attempts:
             if attempt.may_have_run:
                 return attempt
         return None
 
     def attempt(self, number: int) -> Attempt | None:
-        """The attempt of that number, if there was one."""
+        """Return the attempt with this number, or None if there was none."""
         return self.attempts[number] if number < len(self.attempts) else None
 
     def begin_load(self, now: float) -> list[Attempt]:
-        """Its last byte has come: attempts that are out, which are returned, are load from now."""
-        begun = [attempt for attempt in self.attempts if attempt.out and not attempt.is_load]
+        """Start to count open attempts as load, as the last byte has arrived, and return them."""
+        begun = [attempt for attempt in self.attempts if attempt.is_open and not attempt.is_load]
         for attempt in begun:
             attempt.sent_at = now
             attempt.is_load = True
         return begun
 
     def open_attempts(self) -> int:
-        """How many attempts are out."""
-        return sum(attempt.out for attempt in self.attempts)
+        """Return the number of open attempts."""
+        return sum(attempt.is_open for attempt in self.attempts)
 
 
 class CounterCall(NamedTuple):
-    """A call to a customer's count that is out, and what its amount is made of, all in units."""
+    """An open call to a customer's count, and the parts of its amount, all in units."""
 
     window: int
     amount: float  # the sum of the three next
@@ -198,7 +200,7 @@
 
 
 class SlotCall(NamedTuple):
-    """A call to the count of a customer's open attempts that is out."""
+    """An open call to the count of a customer's open attempts."""
 
     window: int
     amount: int  # slots claimed, or given back where negative
@@ -206,7 +208,7 @@
 
 
 class Customer:
-    """One customer: its store of units, the last total of its shared count, its slots for open attempts."""
+    """One customer: its store of units, the last total of its shared count, and its slots for attempts."""
 
     __slots__ = (
         "key",
@@ -270,7 +272,8 @@
 
         self.window_ms = counts.window_ms(plan)
         self.window_phase = counts.window_phase(key, self.window_ms)
-        # Many come only once: by then the window is over, the store full again and nothing left to know.
+        # Many customers come only once. After this time the window is over and the store full again, so no
+        # knowledge is lost.
         self.keep_ms = self.window_ms + 1000.0 * plan.burst / plan.rate if plan.rate else IDLE_MS
         self.window = -1  # of the last total; -1: there was none
         self.total = 0.0
@@ -298,15 +301,15 @@
         self.denials = 0  # in a row
 
     def window_at(self, now: float) -> int:
-        """The window of this time, the same at all gateways."""
+        """Return the number of the window at a time, which is the same at all gateways."""
         return int((now + self.window_phase) // self.window_ms)
 
     def window_age(self, now: float, window: int) -> float:
-        """How long ago a window began, ms."""
+        """Return the time since a window began, in ms."""
         return now + self.window_phase - window * self.window_ms
 
     def is_idle(self, now: float) -> bool:
-        """Whether it has been away for long and has nothing open."""
+        """Return whether the customer has sent nothing for a long time and has nothing open."""
         if now - self.last_request_at <= self.keep_ms or self.call is not None or self.slot_call is not None:
             return False
         return not self.open_attempts and not self.slot_queue
