--- a/rainturn/component.py
+++ b/rainturn/component.py
@@ -1,4 +1,4 @@
-"""What the parts of a gateway share."""
+"""State that the components of a gateway share."""
 
 from __future__ import annotations
 
@@ -15,13 +15,13 @@
     def __init__(self, settings: it.Settings, seed: int) -> None:
         self.settings = settings
         self.rng = random.Random(seed)
-        self.actions: list[it.Action] = []  # decided on the event in hand
+        self.actions: list[it.Action] = []  # decided on while the current event is handled
         self.timers = TimerQueue(self.actions)
         self.answer_times = [AnswerTime(c.aim_ms / 6, c.aim_ms / 12) for c in settings.classes]
 
 
 class Component:
-    """Base of the parts of a gateway."""
+    """Base class of the components of a gateway."""
 
     def __init__(self, shared: SharedState) -> None:
         self.settings = shared.settings
--- a/rainturn/timers.py
+++ b/rainturn/timers.py
@@ -1,4 +1,4 @@
-"""A queue of timers of which only the earliest is asked for, so that a quiet gateway sleeps."""
+"""Timers of which only the earliest is requested from the environment, so that an idle gateway sleeps."""
 
 from __future__ import annotations
 
@@ -10,13 +10,13 @@
 from rainturn import interface as it
 from rainturn.records import PendingRequest
 
-EARLY_MS = 0.01  # a timer that fires this early counts as due: floating point is no reason to wait again
-SHORTEST_MS = 0.1
-PERIOD_MARGIN_MS = 20.0  # a period may begin so much late
+EARLY_TOLERANCE_MS = 0.01  # a timer this early counts as due: it is floating-point error, no reason to wait
+MIN_DELAY_MS = 0.1
+PERIOD_MARGIN_MS = 20.0  # how late a period may begin
 
 
 class TimerEntry(NamedTuple):
-    """Something to be run at `due`; `serial` keeps entries of the same time in order."""
+    """A callback to run at `due`; `serial` keeps entries with the same time in order."""
 
     due: float
     serial: int
@@ -28,10 +28,10 @@
     """Runs callbacks with the time and their arguments when they are due."""
 
     def __init__(self, actions: list[it.Action]) -> None:
-        self.actions = actions  # `SetTimer` goes here
+        self.actions = actions  # receives the `SetTimer` actions
         self.entries: list[TimerEntry] = []
         self.serial = 0
-        self.armed_for = math.inf  # the time that was asked for last
+        self.armed_for = math.inf  # the time of the last `SetTimer`
 
     def after(self, now: float, delay: float, callback: Callable[..., None], *arguments: Any) -> None:
         """Run `callback(now, *arguments)` in `delay` ms."""
@@ -43,38 +43,38 @@
             self.actions.append(it.SetTimer(delay, 0))
 
     def run_due(self, now: float) -> None:
-        """Run what is due, and ask for the next time."""
-        if now < self.armed_for - EARLY_MS:
-            return  # a timer that an earlier one has replaced
-        self.armed_for = now  # no timer is asked for meanwhile
-        while self.entries and self.entries[0].due <= now + EARLY_MS:
+        """Run the callbacks that are due, and set a timer for the next one."""
+        if now < self.armed_for - EARLY_TOLERANCE_MS:
+            return  # this timer was replaced by an earlier one
+        self.armed_for = now  # callbacks that schedule others set no timer: one is set at the end
+        while self.entries and self.entries[0].due <= now + EARLY_TOLERANCE_MS:
             entry = heapq.heappop(self.entries)
             entry.callback(now, *entry.arguments)
         self.armed_for = self.entries[0].due if self.entries else math.inf
         if self.entries:
-            self.actions.append(it.SetTimer(max(SHORTEST_MS, self.armed_for - now), 0))
+            self.actions.append(it.SetTimer(max(MIN_DELAY_MS, self.armed_for - now), 0))
 
 
 class HoldTimers:
-    """Watches until when requests may be held.
+    """Runs a callback for each request that is still held when its time is over.
 
-    Few are held for long: a timer for each would cost about as much as its arrival, so each period sets those
-    that end before the next.
+    Few requests are held for long, and a timer for each would cost about as much as its arrival. Therefore a
+    timer is set only in the period in which the request's time ends.
     """
 
     def __init__(self, timers: TimerQueue, expire: Callable[[float, PendingRequest], None]) -> None:
         self.timers = timers
-        self.expire = expire  # run with the time and the request
+        self.expire = expire  # called with the time and the request
         self.period_ends = 0.0
 
     def hold(self, now: float, request: PendingRequest, until: float) -> None:
-        """Run `expire` at that time."""
+        """Call `expire` at the time `until`."""
         request.held_until = until
         if until < self.period_ends + PERIOD_MARGIN_MS:
             self._set_timer(now, request)
 
     def begin_period(self, now: float, ends: float, requests: Iterable[PendingRequest]) -> None:
-        """Set the timers of those among the requests whose time ends in the new period."""
+        """Set the timers of those requests whose time ends in the new period."""
         self.period_ends = ends
         for request in requests:
             if request.held_until < ends + PERIOD_MARGIN_MS:
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -1,4 +1,4 @@
-"""Settings and small drivers shared by the tests."""
+"""Settings, and a driver for a decision module, shared by the tests."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 LIMITS = it.Limits(max_attempts=6, may_cancel=True, may_duplicate=True)
 
 
-def settings(**change: Any) -> it.Settings:
+def settings(**changes: Any) -> it.Settings:
     base: dict[str, Any] = {
         "gateway": 0,
         "gateways": 2,
@@ -30,7 +30,7 @@
         "limits": LIMITS,
         "counter": True,
     }
-    return it.Settings(**(base | change))
+    return it.Settings(**(base | changes))
 
 
 def hosts(count: int, started: float = 0.0, state: it.HostState = it.HostState.READY) -> it.HostList:
@@ -40,7 +40,7 @@
 
 
 class Drive:
-    """A gateway with a clock and memory of what it did."""
+    """A gateway with a clock that tests set, and a record of all its actions."""
 
     def __init__(self, config: it.Settings, fleet: int = 4, now: float = 100_000.0) -> None:
         self.gate, self.now = Gateway(config, 7), now
@@ -76,7 +76,7 @@
         return self.feed(it.CountAnswered(call.name, outcome, total, 2.0))
 
     def run_for(self, span: float) -> list[it.Action]:
-        """Let time pass, with a timer event every 20 ms."""
+        """Advance the clock by `span` ms, with a timer event every 20 ms; return the actions."""
         got: list[it.Action] = []
         stop = self.now + span
         while self.now < stop:
@@ -86,4 +86,5 @@
 
 
 def of(actions: list[it.Action], kind: type) -> list[Any]:
+    """Return the actions of one type."""
     return [action for action in actions if isinstance(action, kind)]
