--- a/rainturn/decisions/hosts.py
+++ b/rainturn/decisions/hosts.py
@@ -11,7 +11,7 @@
 
 COLD_BUDGET_SHARE = 1 / 3  # part of the cold budget used: costs and traffic vary, and a window is soon spent
 SUSPECT_FAILURES = 2  # failures in a row, without an answer between them, that make a host suspect
-RESET_THRESHOLD = 6  # resets in a row that count as a failure: a path may reset healthy hosts by chance
+RESET_THRESHOLD = 6  # resets in a row that count as a failure: a path may cut healthy connections by chance
 TRIAL_INTERVAL_MS = 500.0  # how often all gateways together try a suspect host; a trial delays a request
 MAX_TRIAL_GATEWAYS = 40  # with more, each one's trials would be too rare to notice that a host has recovered
 COLD_AFTER_SPANS = 4.0  # multiple of `fall_ms` spent failing after which a host may have restarted
--- a/rainturn/records.py
+++ b/rainturn/records.py
@@ -64,7 +64,7 @@
         self.tried_at = now  # the last attempt
         self.failures = 0  # in a row
         self.resets = 0  # broken connections in a row
-        self.failing_since = 0.0  # the first of the failures
+        self.failing_since = 0.0  # time of the first of these failures
         self.started = LONG_AGO  # start time on this gateway's clock
         self.listed_start = LONG_AGO  # start time in the host list, which may be by another clock
         self.is_in_ring = False  # this field and the next two are maintained by `HostIndex`
--- a/rainturn/timers.py
+++ b/rainturn/timers.py
@@ -56,7 +56,7 @@
 
 
 class HoldTimers:
-    """Runs a callback for each request that is still held when its time is over.
+    """Runs a callback when the time for which a request may be held is over.
 
     Few requests are held for long, and a timer for each would cost about as much as its arrival. Therefore a
     timer is set only in the period in which the request's time ends.
