--- a/rainturn/benchlink.py
+++ b/rainturn/benchlink.py
@@ -37,7 +37,7 @@
     304: it.Outcome.UNREACHABLE,
     305: it.Outcome.RESET,
     306: it.Outcome.CANCELLED,
-    307: it.Outcome.MOOT,
+    307: it.Outcome.NOT_SENT,
 }
 STATES = {0: it.HostState.DRAINING, 2: it.HostState.READY, 3: it.HostState.GONE}
 KINDS = {0: it.ListKind.DELTA, 1: it.ListKind.FULL, 2: it.ListKind.CACHED, 3: it.ListKind.FAILED}
--- a/rainturn/decisions/attempts.py
+++ b/rainturn/decisions/attempts.py
@@ -15,8 +15,8 @@
 RETRY_SHARE = 0.1  # further attempts earned by each first one, so that retries cannot feed an overload
 RETRY_BANK = 10.0
 HOLD_SHARE = 0.6  # part of the target that a request may be held for want of a host, slot or total
-NEVER_RAN = (Outcome.FULL, Outcome.UNREACHABLE, Outcome.MOOT)
-NEVER_SENT = (Outcome.UNREACHABLE, Outcome.MOOT)
+NEVER_RAN = (Outcome.FULL, Outcome.UNREACHABLE, Outcome.NOT_SENT)
+NEVER_SENT = (Outcome.UNREACHABLE, Outcome.NOT_SENT)
 
 
 class Attempts(Component):
@@ -95,7 +95,7 @@
         if request.id in self.open and not request.open_attempts():
             self._give_up(now, request)
 
-    def body_whole(self, now: float, event: it.BodyWhole) -> None:
+    def body_whole(self, now: float, event: it.BodyComplete) -> None:
         """A host begins with the last byte: only from here an attempt is load, and silence counts."""
         request = self.open.get(event.request)
         if request is not None:
@@ -135,7 +135,7 @@
         self._release(now, holder, attempt)
         if request is not None:
             attempt.may_have_run = attempt.may_have_run and event.outcome not in NEVER_RAN
-            request.bound = request.bound or event.spent
+            request.bound = request.bound or event.body_consumed
             self._go_on(now, event, request)
         return holder.customer
 
@@ -152,8 +152,8 @@
         """Close the request, or try again unless another attempt is out."""
         cost = 0.0 if event.outcome in NEVER_SENT or request.moving else 1.0
         if event.final:
-            if event.final_units is not None and request.customer is not None:
-                self.calls.charge(now, request.customer, event.final_units - request.units)
+            if event.actual_units is not None and request.customer is not None:
+                self.calls.charge(now, request.customer, event.actual_units - request.units)
             self._close(now, request)
         elif request.open_attempts():
             return
--- a/rainturn/decisions/gateway.py
+++ b/rainturn/decisions/gateway.py
@@ -37,7 +37,7 @@
         self.settled_at = -math.inf  # after a handover: waits so long for a fresh list
         self._handlers: dict[type[it.Event], Callable[[float, Any], Any]] = {
             it.Arrived: self._arrived,
-            it.BodyWhole: self.attempts.body_whole,
+            it.BodyComplete: self.attempts.body_whole,
             it.StreamBegan: self.attempts.answer_began,
             it.AttemptEnded: self._attempt_ended,
             it.RequestGone: self.attempts.client_left,
--- a/rainturn/host_ages.py
+++ b/rainturn/host_ages.py
@@ -39,7 +39,7 @@
 
     def started_at(self, now: float, entry: it.HostEntry) -> float:
         """When a host started, by a line of the list, Unix ms; a start that is told again is no news."""
-        key = (entry.order or entry.host, entry.started)
+        key = (entry.sort_key or entry.host, entry.started)
         if key not in self.starts:
             self.starts[key] = self._estimate(now, entry.started)
             if len(self.starts) > MOST_STARTS:
--- a/rainturn/interface.py
+++ b/rainturn/interface.py
@@ -1,4 +1,7 @@
-"""Types of the decision module: settings at the start, events in, actions out. All times are milliseconds."""
+"""Types at the boundary of the decision module: settings at the start, events in, actions out.
+
+All times are milliseconds. Points in time are on the clock that `Gateway.handle` is given.
+"""
 
 from __future__ import annotations
 
@@ -11,70 +14,70 @@
 
 
 class Effect(enum.Enum):
-    """What a repeat of a request does."""
+    """What running a request a second time does."""
 
-    SAFE = "safe"
-    KEYED = "keyed"
-    UNSAFE = "unsafe"
+    SAFE = "safe"  # nothing further
+    KEYED = "keyed"  # nothing further while hosts still recognize its key and drop the repeat
+    UNSAFE = "unsafe"  # it takes effect again
 
 
 class Group(enum.Enum):
     """Which hosts drop repeats of a keyed request."""
 
     ALL = "all"
-    ZONE = "zone"
-    CELL = "cell"
+    ZONE = "zone"  # those in the zone of the host that got it first
+    CELL = "cell"  # those in the zone and cell of the host that got it first
 
 
 class HostState(enum.Enum):
-    """What the host list says of a host."""
+    """State of a host according to the host list."""
 
     READY = "ready"
-    DRAINING = "draining"
+    DRAINING = "draining"  # finishes its requests and must get no new ones
     GONE = "gone"
 
 
 class ListKind(enum.Enum):
     """How a host list event relates to the list before it."""
 
-    DELTA = "delta"
-    FULL = "full"
-    CACHED = "cached"
-    FAILED = "failed"
+    DELTA = "delta"  # only the entries that have changed
+    FULL = "full"  # the whole list
+    CACHED = "cached"  # the whole list as it was known earlier
+    FAILED = "failed"  # no list: the subscription has ended
 
 
 class Outcome(enum.Enum):
     """How an attempt, a probe or a counter call ended."""
 
     OK = "ok"
-    ERROR = "error"
-    FULL = "full"
-    TIMEOUT = "timeout"
-    UNREACHABLE = "unreachable"
-    RESET = "reset"
-    CANCELLED = "cancelled"
-    MOOT = "moot"
-
-
-def _check(owner: str, name: str, value: Any, kind: str) -> None:
-    """Raise a ValueError naming the setting unless the value is of the annotated kind and range."""
-    number = isinstance(value, int | float) and not isinstance(value, bool)
-    if kind == "float" and not (number and math.isfinite(value) and value >= 0):
+    ERROR = "error"  # answered with an error
+    FULL = "full"  # turned away because of overload; it did not run
+    TIMEOUT = "timeout"  # sent and not answered in time
+    UNREACHABLE = "unreachable"  # no connection, or it broke before all was sent; it did not run
+    RESET = "reset"  # the connection broke after all was sent
+    CANCELLED = "cancelled"  # called off by the gateway
+    NOT_SENT = "moot"  # given up before all was sent, for a reason that is not the host's
+
+
+def _check(owner: str, name: str, value: Any, annotation: str) -> None:
+    """Raise a ValueError naming the setting unless the value has the annotated type and range."""
+    is_number = isinstance(value, int | float) and not isinstance(value, bool)
+    if annotation == "float" and not (is_number and math.isfinite(value) and value >= 0):
         raise ValueError(f"setting {owner}.{name}: expected a number of at least 0, got {value!r}")
-    if kind == "int" and not (number and value == int(value) and value >= 0):
+    if annotation == "int" and not (is_number and value == int(value) and value >= 0):
         raise ValueError(f"setting {owner}.{name}: expected a whole number of at least 0, got {value!r}")
-    if kind == "bool" and not isinstance(value, bool):
+    if annotation == "bool" and not isinstance(value, bool):
         raise ValueError(f"setting {owner}.{name}: expected true or false, got {value!r}")
-    if kind == "str" and not isinstance(value, str):
+    if annotation == "str" and not isinstance(value, str):
         raise ValueError(f"setting {owner}.{name}: expected text, got {value!r}")
-    if kind.startswith("tuple") and not isinstance(value, tuple):
+    if annotation.startswith("tuple") and not isinstance(value, tuple):
         raise ValueError(f"setting {owner}.{name}: expected a sequence, got {value!r}")
-    if kind in ("Effect", "Group", "Rules", "Limits") and type(value).__name__ != kind:
-        raise ValueError(f"setting {owner}.{name}: expected {kind}, got {value!r}")
+    if annotation in ("Effect", "Group", "Rules", "Limits") and type(value).__name__ != annotation:
+        raise ValueError(f"setting {owner}.{name}: expected {annotation}, got {value!r}")
 
 
-class _Checked:
-    """Base of the settings: every field is checked against its annotation."""
+class _Validated:
+    """Base class of the settings; checks every field against its annotation."""
 
     def __post_init__(self) -> None:
         for field in fields(self):  # type: ignore[arg-type]
@@ -82,173 +85,186 @@
 
 
 @dataclass(frozen=True)
-class RequestClass(_Checked):
-    """A class of requests; `deadline_ms` spans every try of the client."""
+class RequestClass(_Validated):
+    """A class of requests. The decisions don't use `stream` and `aim_stretch`."""
 
     effect: Effect
-    aim_ms: float
-    deadline_ms: float
-    worth: float
-    late_worth: float = 0.0
+    aim_ms: float  # target time from arrival to answer; an answer after it is late
+    deadline_ms: float  # longest time for all tries of the client together
+    worth: float  # value of an answer in time; the plan's `price` multiplies it
+    late_worth: float = 0.0  # value of a late answer; 0: none, so a late request is not repeated
     group: Group = Group.ALL
-    window_ms: float = 0.0
-    stream: bool = False
+    window_ms: float = 0.0  # how long after the first attempt hosts drop repeats of a keyed request
+    stream: bool = False  # whether answers are streams
     aim_stretch: float = 0.0
 
 
 @dataclass(frozen=True)
-class Plan(_Checked):
-    """A plan: quota (0: none), ceiling (0: none), most attempts out (0: no limit), each for one customer."""
-
-    price: float
-    rate: float
-    burst: float
-    parallel: int = 0
-    ceiling_rate: float = 0.0
-    ceiling_burst: float = 0.0
-    ceiling_slack: float = 0.0
+class Plan(_Validated):
+    """A plan, whose quota, ceiling and limit on open attempts apply to each customer separately.
+
+    The decisions don't use `over_worth`.
+    """
+
+    price: float  # factor on the worth of a request
+    rate: float  # quota, units/s; 0: none
+    burst: float  # units of the quota that an idle customer can save up
+    parallel: int = 0  # most open attempts; 0: no limit
+    ceiling_rate: float = 0.0  # ceiling, units/s; 0: none
+    ceiling_burst: float = 0.0  # units of the ceiling that an idle customer can save up
+    ceiling_slack: float = 0.0  # units by which the ceiling may be exceeded
     over_worth: float = 0.0
-    over_cost: float = 0.0
+    over_cost: float = 0.0  # cost of admitting a request beyond the quota, relative to the gain of one within
 
 
 @dataclass(frozen=True)
-class Rules(_Checked):
-    """Figures of the rules on answers, drains and cold hosts."""
+class Rules(_Validated):
+    """Parameters of the rules on answers, draining hosts and cold hosts.
+
+    In any span of `fall_ms` a cold host may get at most `fall_multiple` times the load that its share of the
+    capacity allows. The decisions don't use `answer_grace_ms` and `ask_within_ms`.
+    """
 
     answer_grace_ms: float
-    drain_grace_ms: float
+    drain_grace_ms: float  # time within which a gateway must stop sending to a host that drains
     fall_multiple: float
     fall_ms: float
-    cold_share: float
-    warm_ms: float
+    cold_share: float  # share of its capacity that a host has when it starts, 0 to 1
+    warm_ms: float  # time from a host's start until it has its full capacity
     ask_within_ms: float = 10_000.0
 
 
 @dataclass(frozen=True)
-class Limits(_Checked):
-    """What the deployment permits."""
+class Limits(_Validated):
+    """What the deployment permits. The decisions don't use `may_probe` and the two fields on backoff."""
 
-    max_attempts: int
-    may_cancel: bool = False
-    may_duplicate: bool = False
-    may_probe: bool = False
+    max_attempts: int  # for one request
+    may_cancel: bool = False  # whether attempts may be cancelled
+    may_duplicate: bool = False  # whether a request may have several open attempts
+    may_probe: bool = False  # whether hosts may be probed
     connect_timeout_ms: float = 250.0
-    honours_backoff: bool = False
+    honours_backoff: bool = False  # whether clients wait for the backoff that a refusal names
     max_backoff_ms: float = 0.0
 
 
 @dataclass(frozen=True)
-class Settings(_Checked):
-    """All that one gateway is told when it starts."""
+class Settings(_Validated):
+    """Configuration of one gateway.
 
-    gateway: int
-    gateways: int
-    zone: int
+    The decisions don't use `tick_ms`, `zone`, `meter_ms`, `settles_later` and `load_fields`.
+    """
+
+    gateway: int  # number of this gateway, from 0
+    gateways: int  # how many gateways there are
+    zone: int  # number of this gateway's zone
     tick_ms: float
-    classes: tuple[RequestClass, ...]
-    plans: tuple[Plan, ...]
+    classes: tuple[RequestClass, ...]  # by the number that `Arrived.request_class` gives
+    plans: tuple[Plan, ...]  # by the number that `Arrived.plan` gives
     rules: Rules
     limits: Limits
-    asks_for_list: bool = False
-    counter: bool = False
+    asks_for_list: bool = False  # whether the host list comes only after `WatchList`
+    counter: bool = False  # whether the shared counter may be called
     counter_timeout_ms: float = 100.0
     meter_ms: float = 0.0
-    settles_later: bool = False
-    most_units: float = 0.0
-    load_fields: tuple[str, ...] = ()
-    sizes_told: bool = False
+    settles_later: bool = False  # whether the units of a request are known only when it ends
+    most_units: float = 0.0  # most units of one request; 0: no limit
+    load_fields: tuple[str, ...] = ()  # names of the values in `AttemptEnded.load`, in their order
+    sizes_told: bool = False  # whether `HostEntry.size` tells hosts apart; otherwise they count as equal
 
 
-def build(kind: type[T], values: dict[str, Any]) -> T:
-    """Make settings of `kind`, naming what is missing; unknown keys are ignored."""
-    known = {field.name: field for field in fields(kind)}  # type: ignore[arg-type]
+def build_settings(settings_type: type[T], values: dict[str, Any]) -> T:
+    """Make settings of a type, ignoring unknown keys.
+
+    Raises a ValueError that names a missing or invalid setting.
+    """
+    known = {field.name: field for field in fields(settings_type)}  # type: ignore[arg-type]
     try:
-        return kind(**{key: value for key, value in values.items() if key in known})
+        return settings_type(**{key: value for key, value in values.items() if key in known})
     except TypeError as error:
-        raise ValueError(f"setting {kind.__name__}: {error}") from None
+        raise ValueError(f"setting {settings_type.__name__}: {error}") from None
 
 
 class HostEntry(NamedTuple):
-    """A line of the host list. `started` 0 means long ago; `order` 0: all gateways know the host's number."""
+    """An entry of the host list."""
 
     host: int
     zone: int
     cell: int
     state: HostState
-    size: float = 1.0
-    started: float = 0.0
-    order: int = 0  # by which all gateways put the hosts in the same order, where each numbers them by itself
+    size: float = 1.0  # capacity, relative to that of other hosts
+    started: float = 0.0  # when the host started, by the clock of the list; 0: long ago
+    sort_key: int = 0  # the same at all gateways, which may number hosts differently; 0: `host` is the same
 
 
 class HostList(NamedTuple):
-    """News of the host list."""
+    """The host list or a change of it."""
 
     kind: ListKind
     entries: tuple[HostEntry, ...] = ()
 
 
 class Arrived(NamedTuple):
-    """The gateway has taken a request, which may come through `spread` gateways."""
+    """A request has arrived."""
 
     request: int
-    deadline: float
+    deadline: float  # when its answer is due
     customer: int
-    plan: int
-    request_class: int
-    units: float = 1.0
-    spread: float = 1.0
-    client_repeat: bool = False
-    whole: bool = True  # else its last value is still on its way, and `BodyWhole` follows
+    plan: int  # index into `Settings.plans`; outside of it: the request has no plan
+    request_class: int  # index into `Settings.classes`
+    units: float = 1.0  # what it takes of the quota
+    spread: float = 1.0  # how many gateways the customer's requests come through
+    client_repeat: bool = False  # whether the client marks it as a repeat
+    is_complete: bool = True  # otherwise its last value is still coming in, and `BodyComplete` follows
 
 
-class BodyWhole(NamedTuple):
-    """The last byte of a request has come; its time counts from now."""
+class BodyComplete(NamedTuple):
+    """The last byte of a request has arrived; its time limit counts from now."""
 
     request: int
-    deadline: float
+    deadline: float  # replaces that of `Arrived`
 
 
 class StreamBegan(NamedTuple):
-    """The first byte of a stream has come; the request is bound to this attempt."""
+    """The first byte of a streamed answer has arrived; the request is bound to this attempt."""
 
     request: int
     attempt: int
 
 
 class AttemptEnded(NamedTuple):
-    """How an attempt ended; `final` says nothing more is owed. `meter` is the share of the rate in use."""
+    """An attempt has ended."""
 
     request: int
-    attempt: int
+    attempt: int  # number of the attempt, from 0 for the request's first
     host: int
     outcome: Outcome
-    elapsed: float
-    final: bool
-    meter: float | None = None
-    final_units: float | None = None
-    load: tuple[float, ...] = ()
-    spent: bool = False  # what would have to be sent again is not held any more
+    elapsed: float  # since its `Send`
+    final: bool  # whether the client has its answer, or is gone, so that nothing more is owed
+    quota_usage: float | None = None  # share of the quota that is in use; None: not known
+    actual_units: float | None = None  # units that the request took; None: as `Arrived.units` says
+    load: tuple[float, ...] = ()  # values that the host reports, by `Settings.load_fields`
+    body_consumed: bool = False  # whether the request's body has been passed on and cannot be sent again
 
 
 class RequestGone(NamedTuple):
-    """The client left, or the request has ended otherwise."""
+    """The client has left, or the request has ended otherwise."""
 
     request: int
 
 
 class TimerFired(NamedTuple):
-    """A time asked for by `SetTimer` has come."""
+    """A timer set by `SetTimer` has expired."""
 
     token: int
 
 
 class ProbeEnded(NamedTuple):
-    """Result of a probe."""
+    """A probe has ended."""
 
     host: int
     outcome: Outcome
     elapsed: float
-    load: tuple[float, ...] = ()
+    load: tuple[float, ...] = ()  # values that the host reports, by `Settings.load_fields`
 
 
 class PeerMessage(NamedTuple):
@@ -259,28 +275,28 @@
 
 
 class CountAnswered(NamedTuple):
-    """What came of a counter call."""
+    """A counter call has ended."""
 
     name: int
     outcome: Outcome
-    total: float
+    total: float  # of the count, with the amount added; counts for `Outcome.OK` only
     elapsed: float
 
 
 class InService(NamedTuple):
-    """The operators send clients away, or put the gateway back to work."""
+    """The operators put the gateway into service, or take it out so that clients go elsewhere."""
 
     on: bool
 
 
 class ProcessOverlap(NamedTuple):
-    """Another process of this same gateway serves beside this one, or has ended."""
+    """Another process of this same gateway begins to serve beside this one, or has ended."""
 
     on: bool
 
 
 class ShuttingDown(NamedTuple):
-    """This process ends as soon as what is open is answered."""
+    """This process ends as soon as the open requests are answered."""
 
 
 Event = (
@@ -296,42 +312,42 @@
     | InService
     | ProcessOverlap
     | ShuttingDown
-    | BodyWhole
+    | BodyComplete
 )
 
 
 class Send(NamedTuple):
-    """Start an attempt. `timeout` 0: until the client gives up. Unless begun within `within` it is moot."""
+    """Start an attempt."""
 
     request: int
     host: int
-    timeout: float = 0.0
-    within: float = math.inf
+    timeout: float = 0.0  # 0: until the request's deadline
+    start_within: float = math.inf  # an attempt that has not begun by then ends as `Outcome.NOT_SENT`
 
 
 class Cancel(NamedTuple):
-    """Call an attempt off; its end is still reported."""
+    """Cancel an attempt; its end is still reported."""
 
     request: int
     attempt: int
 
 
 class Refuse(NamedTuple):
-    """Final answer: trying again is harmless, where it is told by the time `until`; later it is a failure."""
+    """Answer a request with a refusal, which promises that trying again is harmless."""
 
     request: int
-    backoff: float = 0.0
-    until: float = math.inf
+    backoff: float = 0.0  # how long the client should wait before it tries again; 0: not known
+    harmless_until: float = math.inf  # from then on a failure is sent instead
 
 
 class Fail(NamedTuple):
-    """Final answer that promises nothing."""
+    """Answer a request with a failure, which doesn't promise that trying again is harmless."""
 
     request: int
 
 
 class SetTimer(NamedTuple):
-    """Ask for a `TimerFired`."""
+    """Request a `TimerFired`."""
 
     delay: float
     token: int
@@ -344,11 +360,11 @@
 
 
 class Count(NamedTuple):
-    """Add to a named count and get the total; `ttl` holds for a new name only."""
+    """Add to a count and get its total."""
 
     name: int
     amount: float
-    ttl: float
+    ttl: float  # how long the count is kept; only a new name takes it
 
 
 class WatchList(NamedTuple):
@@ -358,7 +374,7 @@
 
 
 class FetchList(NamedTuple):
-    """Ask for the whole host list once."""
+    """Request the whole host list once."""
 
 
 class Note(NamedTuple):
--- a/rainturn/node/gateway.py
+++ b/rainturn/node/gateway.py
@@ -152,7 +152,7 @@
         if not request.done:
             request.deadline = deadline
             self._set_deadline(request)
-            self.feed(it.BodyWhole(request.number, deadline))
+            self.feed(it.BodyComplete(request.number, deadline))
 
     def _set_deadline(self, request: Request) -> None:
         delay = max(0.0, request.deadline - self.clock.now()) / 1000
@@ -173,7 +173,7 @@
             if attempt is not None:  # a command that stays short never runs; a value has nowhere to go
                 self.hosts.drop(attempt)
                 self.attempt_ended(
-                    attempt, it.Outcome.CANCELLED if request.is_complete() else it.Outcome.MOOT
+                    attempt, it.Outcome.CANCELLED if request.is_complete() else it.Outcome.NOT_SENT
                 )
         self._forget(request.number)
 
@@ -226,7 +226,7 @@
         request = self._open(action.request)
         if request is not None:
             self._finish(request, Ending.DROPPED)
-            request.client.send_refusal(request, action.backoff, action.until)
+            request.client.send_refusal(request, action.backoff, action.harmless_until)
         self._forget(action.request)
 
     def _fail(self, action: it.Fail, now: float) -> None:
@@ -241,14 +241,16 @@
     def _send(self, action: it.Send, now: float) -> None:
         request = self.requests.get(action.request)
         if request is None:
-            return self.feed(it.AttemptEnded(action.request, 0, action.host, it.Outcome.MOOT, 0.0, True))
+            return self.feed(it.AttemptEnded(action.request, 0, action.host, it.Outcome.NOT_SENT, 0.0, True))
         deadline = min(request.deadline, now + action.timeout) if action.timeout else request.deadline
-        attempt = Attempt(request, len(request.attempts), action.host, now, deadline, now + action.within)
+        attempt = Attempt(
+            request, len(request.attempts), action.host, now, deadline, now + action.start_within
+        )
         request.attempts.append(attempt)
         request.open_attempts += 1
         limit = self.settings.limits.max_attempts
         if request.done or attempt.number >= limit or deadline <= now:
-            return self.attempt_ended(attempt, it.Outcome.MOOT)
+            return self.attempt_ended(attempt, it.Outcome.NOT_SENT)
         if deadline < request.deadline:
             attempt.timer = self.loop.call_later((deadline - now) / 1000, self._timed_out, attempt)
         self.hosts.start(attempt)
@@ -289,7 +291,7 @@
         request.open_attempts -= 1
         if attempt.timer is not None:
             attempt.timer.cancel()
-        if outcome not in (it.Outcome.FULL, it.Outcome.UNREACHABLE, it.Outcome.MOOT):
+        if outcome not in (it.Outcome.FULL, it.Outcome.UNREACHABLE, it.Outcome.NOT_SENT):
             request.may_have_run = True
         if request.value_source is not None and not request.done:
             if outcome is it.Outcome.OK:
@@ -301,10 +303,16 @@
             self._finish(request, Ending.PASSED)
             request.client.send_value(request, value)
         elapsed = max(0.0, self.clock.now() - attempt.started_at)
-        spent = request.body is not None and request.body.spent
+        body_consumed = request.body is not None and request.body.spent
         self.feed(
             it.AttemptEnded(
-                request.number, attempt.number, attempt.host, outcome, elapsed, request.done, spent=spent
+                request.number,
+                attempt.number,
+                attempt.host,
+                outcome,
+                elapsed,
+                request.done,
+                body_consumed=body_consumed,
             )
         )
 
--- a/rainturn/node/host_pools.py
+++ b/rainturn/node/host_pools.py
@@ -107,7 +107,7 @@
             # Guards against a connect that comes up late: the request may have ended meanwhile (rule 1), its
             # key may be forgotten (rule 2) or the host may leave by now (rule 3). Nothing was written or ran.
             # And against a client whose end is not read yet, as it is not read from or the loop was late.
-            node.attempt_ended(attempt, it.Outcome.MOOT)
+            node.attempt_ended(attempt, it.Outcome.NOT_SENT)
             return False
         connection.begin(attempt, now)
         return True
@@ -115,7 +115,7 @@
     def _open(self) -> None:
         if not self.pools.make_room():
             # Not sent for a shortage of our own: to call the host unreachable would make a well one suspect.
-            self.node.attempt_ended(self.waiting.pop(), it.Outcome.MOOT)
+            self.node.attempt_ended(self.waiting.pop(), it.Outcome.NOT_SENT)
             return
         self.connecting += 1
         self.pools.connecting += 1
@@ -132,7 +132,7 @@
         try:
             connection = await connect(node.loop, lambda: HostConnection(self, address), address, limit_s)
         except OwnShortage:
-            failure = it.Outcome.MOOT  # to call the host unreachable would make a well one suspect
+            failure = it.Outcome.NOT_SENT  # to call the host unreachable would make a well one suspect
         except (OSError, ValueError):
             pass
         finally:
@@ -265,7 +265,7 @@
         self.to_return.clear()
         for pool in pools:
             while pool.leaving and pool.waiting:
-                self.node.attempt_ended(pool.waiting.popleft(), it.Outcome.MOOT)
+                self.node.attempt_ended(pool.waiting.popleft(), it.Outcome.NOT_SENT)
             pool.forget_if_over()
 
     def close_idle(self) -> None:
--- a/rainturn/records.py
+++ b/rainturn/records.py
@@ -55,7 +55,7 @@
 
     def __init__(self, entry: it.HostEntry, now: float, ages: HostAges) -> None:
         self.id = entry.host
-        self.order = entry.order or entry.host * HASH_FACTOR % (1 << 32)
+        self.order = entry.sort_key or entry.host * HASH_FACTOR % (1 << 32)
         self.open_attempts = 0  # those that are load: their requests are whole and no answer has begun
         self.latency = 1.0  # time of its answers against the usual one
         self.latency_at = now
@@ -156,8 +156,8 @@
         self.bound = False  # to its attempt: no other may follow
         self.moving = False  # its attempt was given up, and another one replaces it
         self.charged = False  # whether its units are taken and no attempt has come whole to a host
-        self.whole = event.whole
-        self.passed_on = not event.whole  # as it comes: it can't be moved to another host
+        self.whole = event.is_complete
+        self.passed_on = not event.is_complete  # as it comes: it can't be moved to another host
         self.held_until = math.inf  # where no timer watches that yet
         self.draw = draw  # one draw for cold hosts, however often a held request looks for a host
 
--- a/rainturn/settings.py
+++ b/rainturn/settings.py
@@ -1,4 +1,4 @@
-"""Settings under the wire's names, as the adapter and the node are told them, to the interface's types."""
+"""Translation of settings, as the simulator and configuration files write them, to the interface's types."""
 
 from __future__ import annotations
 
@@ -7,6 +7,7 @@
 
 from rainturn import interface as it
 
+# Words and keys of the settings object, each with its value or field in the interface.
 EFFECTS = {"retryable": it.Effect.SAFE, "dedup": it.Effect.KEYED, "fragile": it.Effect.UNSAFE}
 GROUPS = {"all": it.Group.ALL, "zone": it.Group.ZONE, "cell": it.Group.CELL}
 CLASS_KEYS = {"target_ms": "aim_ms", "hard_limit_ms": "deadline_ms", "credit": "worth"}
@@ -26,22 +27,24 @@
     "cost_after": "settles_later",
     "units_top": "most_units",
 }
-TOP_KEYS = {"me": "gateway", "balancers": "gateways", "my_zone": "zone"}
+TOP_LEVEL_KEYS = {"me": "gateway", "balancers": "gateways", "my_zone": "zone"}
 
 
-def _renamed(source: Any, names: dict[str, str], where: str) -> dict[str, Any]:
+def _rename_keys(source: Any, new_names: dict[str, str], where: str) -> dict[str, Any]:
+    """Return an object with the given keys renamed, or raise a ValueError if it is no object."""
     if not isinstance(source, dict):
         raise ValueError(f"setting {where}: expected an object, got {source!r}")
-    return {names.get(key, key): value for key, value in source.items()}
+    return {new_names.get(key, key): value for key, value in source.items()}
 
 
-def _word(table: dict[str, Any], word: Any, where: str) -> Any:
+def _look_up(table: dict[str, Any], word: Any, where: str) -> Any:
+    """Return what a word stands for in a table, or raise a ValueError if it is not there."""
     if not isinstance(word, str) or word not in table:
         raise ValueError(f"setting {where}: expected one of {sorted(table)}, got {word!r}")
     return table[word]
 
 
-def _items(source: dict[str, Any], key: str) -> list[Any]:
+def _required_list(source: dict[str, Any], key: str) -> list[Any]:
     if key not in source:
         raise ValueError(f"setting {key}: missing")
     if not isinstance(source[key], list):
@@ -50,14 +53,14 @@
 
 
 def _request_class(source: Any) -> it.RequestClass:
-    values = _renamed(source, CLASS_KEYS, "classes[]")
-    values["effect"] = _word(EFFECTS, values.get("effect"), "classes[].effect")
-    values["group"] = _word(GROUPS, values.get("group", "all"), "classes[].group")
-    return it.build(it.RequestClass, values)
+    values = _rename_keys(source, CLASS_KEYS, "classes[]")
+    values["effect"] = _look_up(EFFECTS, values.get("effect"), "classes[].effect")
+    values["group"] = _look_up(GROUPS, values.get("group", "all"), "classes[].group")
+    return it.build_settings(it.RequestClass, values)
 
 
 def read_settings(body: bytes) -> it.Settings:
-    """Turn the wire's settings text into the interface's settings."""
+    """Parse a settings object from JSON; raises a ValueError that names a wrong setting."""
     try:
         source = json.loads(body)
     except ValueError:
@@ -66,24 +69,25 @@
 
 
 def settings_from(source: Any) -> it.Settings:
-    """Turn the wire's settings object into the interface's settings."""
-    values = _renamed(source, TOP_KEYS, "settings")
-    values["classes"] = tuple(_request_class(entry) for entry in _items(source, "classes"))
+    """Translate a decoded settings object; raises a ValueError that names a wrong setting."""
+    values = _rename_keys(source, TOP_LEVEL_KEYS, "settings")
+    values["classes"] = tuple(_request_class(entry) for entry in _required_list(source, "classes"))
     values["plans"] = tuple(
-        it.build(it.Plan, _renamed(entry, PLAN_KEYS, "plans[]")) for entry in source.get("plans") or []
+        it.build_settings(it.Plan, _rename_keys(entry, PLAN_KEYS, "plans[]"))
+        for entry in source.get("plans") or []
     )
-    values["rules"] = it.build(it.Rules, _renamed(source.get("rules"), RULE_KEYS, "rules"))
-    values["limits"] = it.build(it.Limits, _renamed(source.get("limits"), LIMIT_KEYS, "limits"))
-    values.update(_renamed(source.get("family_info") or {}, FAMILY_KEYS, "family_info"))
+    values["rules"] = it.build_settings(it.Rules, _rename_keys(source.get("rules"), RULE_KEYS, "rules"))
+    values["limits"] = it.build_settings(it.Limits, _rename_keys(source.get("limits"), LIMIT_KEYS, "limits"))
+    values.update(_rename_keys(source.get("family_info") or {}, FAMILY_KEYS, "family_info"))
     values["asks_for_list"] = source.get("discovery") == "ask"
-    stats = _renamed(source.get("stats") or {}, {}, "stats")
+    stats = _rename_keys(source.get("stats") or {}, {}, "stats")
     values["load_fields"] = tuple(stats.get("names") or ())
     values["sizes_told"] = source.get("weight_kind") in ("nominal", "rough")
-    return it.build(it.Settings, values)
+    return it.build_settings(it.Settings, values)
 
 
 class Names(NamedTuple):
-    """Names that clients and discovery use, in the order of the interface's numbers."""
+    """Names that clients and discovery use; the index of each is its number in the interface."""
 
     classes: tuple[str, ...]
     plans: tuple[str, ...]
@@ -91,6 +95,7 @@
 
 
 def _names(entries: list[Any], where: str) -> tuple[str, ...]:
+    """Return entries that are names, or have one; raise a ValueError for another entry."""
     names: list[Any] = [entry.get("name") if isinstance(entry, dict) else entry for entry in entries]
     for name in names:
         if not isinstance(name, str):
@@ -99,9 +104,9 @@
 
 
 def names_from(source: Any) -> Names:
-    """Read the names of classes, plans and zones from settings that `settings_from` has taken."""
+    """Read the names of classes, plans and zones from an object that `settings_from` has accepted."""
     return Names(
-        _names(_items(source, "classes"), "classes[].name"),
+        _names(_required_list(source, "classes"), "classes[].name"),
         _names(source.get("plans") or [], "plans[].name"),
-        _names(_items(source, "localities"), "localities[]"),
+        _names(_required_list(source, "localities"), "localities[]"),
     )
--- a/tests/test_audit_repeats.py
+++ b/tests/test_audit_repeats.py
@@ -39,7 +39,7 @@
         drive.now += age
         again = of(drive.end(send, it.Outcome.RESET, elapsed=age), it.Send)
         assert len(again) == repeats
-        assert all(age + one.within <= keyed.window_ms - HELD_UP_MS for one in again)
+        assert all(age + one.start_within <= keyed.window_ms - HELD_UP_MS for one in again)
 
 
 def test_a_refusal_that_waits_for_its_turn_beyond_the_window_is_an_error() -> None:
--- a/tests/test_host_index.py
+++ b/tests/test_host_index.py
@@ -56,7 +56,7 @@
         return self.config.rules.fall_multiple / 3 * self.warmth(now, line.started) * part
 
     def start(self, now: float, entry: it.HostEntry) -> float:
-        key = (entry.order or entry.host, entry.started)  # the same as it was, if it is told again
+        key = (entry.sort_key or entry.host, entry.started)  # the same as it was, if it is told again
         return self.starts.setdefault(key, self.estimate(now, entry.started))
 
     def estimate(self, now: float, listed: float) -> float:
@@ -89,10 +89,10 @@
             if entry.state is GONE:
                 return
             line = self.lines[entry.host] = Line(entry, 0.0)
-        same = entry._replace(started=0.0, order=0) == line.entry._replace(started=0.0, order=0)
+        same = entry._replace(started=0.0, sort_key=0) == line.entry._replace(started=0.0, sort_key=0)
         restart = entry.started not in (0.0, line.listed)
         if not same or restart or line.standing == "out":
-            line.entry = entry._replace(order=line.entry.order)
+            line.entry = entry._replace(sort_key=line.entry.sort_key)
             if restart:
                 line.listed, line.started = entry.started, max(line.started, self.start(now, entry))
             line.standing = self.look(now, line)
@@ -111,7 +111,7 @@
 
     def warm(self) -> list[int]:
         listed = [line for line in self.lines.values() if line.entry.state is not GONE]
-        listed.sort(key=lambda line: (line.entry.order, line.entry.host))
+        listed.sort(key=lambda line: (line.entry.sort_key, line.entry.host))
         first = ring_position(self.config) * len(listed) // self.config.gateways
         return [line.entry.host for line in listed[first:] + listed[:first] if line.standing == "warm"]
 
@@ -123,7 +123,7 @@
     assert index.hosts.keys() == plain.lines.keys()
     assert [h.id for h in index.listed()] == sorted(
         (n for n, line in plain.lines.items() if line.entry.state is not GONE),
-        key=lambda n: (plain.lines[n].entry.order, n),
+        key=lambda n: (plain.lines[n].entry.sort_key, n),
     )
     assert abs(index.fleet - plain.fleet) < 1e-9 and abs(index.mean_size - plain.mean_size) < 1e-9
     assert index.any_ready() is any(line.standing != "out" for line in plain.lines.values())
@@ -308,21 +308,21 @@
     """Its host left the list before the last byte came: nothing would take that load off again."""
     gate = Gateway(CONFIG, 1)
     gate.handle(START, it.HostList(it.ListKind.FULL, (_entry(1), _entry(2))))
-    arrived = it.Arrived(1, START + 5000.0, 1, 0, 0, whole=False)
+    arrived = it.Arrived(1, START + 5000.0, 1, 0, 0, is_complete=False)
     (send,) = [a for a in gate.handle(START, arrived) if isinstance(a, it.Send)]
     gate.handle(START, it.HostList(it.ListKind.DELTA, (_entry(send.host, GONE),)))
     assert send.host not in gate.hosts
     gate.handle(START, it.HostList(it.ListKind.DELTA, (_entry(send.host),)))  # another one under its number
-    gate.handle(START, it.BodyWhole(1, START + 5000.0))
+    gate.handle(START, it.BodyComplete(1, START + 5000.0))
     assert gate.host_choice.open_attempts() == 0
 
 
 def test_load_begins_with_the_last_byte_however_many_periods_the_upload_took() -> None:
     gate = Gateway(CONFIG, 1)
     gate.handle(START, it.HostList(it.ListKind.FULL, (_entry(1),)))
-    gate.handle(START, it.Arrived(1, START + 5000.0, 1, 0, 0, whole=False))
+    gate.handle(START, it.Arrived(1, START + 5000.0, 1, 0, 0, is_complete=False))
     assert gate.host_choice.open_attempts() == 0 and not gate.index.used
-    gate.handle(START + 10.0, it.BodyWhole(1, START + 5000.0))
+    gate.handle(START + 10.0, it.BodyComplete(1, START + 5000.0))
     assert gate.host_choice.open_attempts() == 1
     gate.handle(START + 20.0, it.AttemptEnded(1, 0, 1, it.Outcome.OK, 10.0, True))
     assert gate.host_choice.open_attempts() == 0 and not gate.index.used
--- a/tests/test_node_crowd.py
+++ b/tests/test_node_crowd.py
@@ -212,7 +212,7 @@
 
 def test_1024_gateways_reach_all_of_1024_hosts_and_each_begins_at_a_place_of_its_own() -> None:
     entries = tuple(
-        it.HostEntry(n, n % 5, n % 200, it.HostState.READY, order=n * 2654435761 % (1 << 32))
+        it.HostEntry(n, n % 5, n % 200, it.HostState.READY, sort_key=n * 2654435761 % (1 << 32))
         for n in range(1, 1025)
     )
     used = set()
--- a/tests/test_node_hosts.py
+++ b/tests/test_node_hosts.py
@@ -185,7 +185,7 @@
             log, attempt = Log(world), _attempt(world)
             world.parts.pools.start(attempt)
             world.parts.node.client_left(attempt.request)
-            assert (await log.ended()).outcome is it.Outcome.MOOT
+            assert (await log.ended()).outcome is it.Outcome.NOT_SENT
             world.parts.pools.pools[1].close_idle()
             await soon(world.hosts[0].closed.get())
             assert world.hosts[0].commands.empty()
@@ -236,7 +236,7 @@
             log, pool = Log(world), world.parts.pools.pools[1]
             world.parts.pools.start(_attempt(world))
             pool.leaving = True  # whatever made it so
-            assert (await log.ended()).outcome is it.Outcome.MOOT
+            assert (await log.ended()).outcome is it.Outcome.NOT_SENT
             await soon(world.hosts[0].closed.get())
             assert world.hosts[0].commands.empty()
 
@@ -714,6 +714,6 @@
             pools.start(second)
             await soon(world.hosts[0].closed.get())  # it gave way
             pools.start(third)
-            assert (await log.ended()).outcome is it.Outcome.MOOT
+            assert (await log.ended()).outcome is it.Outcome.NOT_SENT
 
     run(main())
--- a/tests/test_node_lists_at_scale.py
+++ b/tests/test_node_lists_at_scale.py
@@ -82,8 +82,8 @@
             pools.return_waiting()
             ends = [await log.ended(), await log.ended()]
             assert [(end.host, end.outcome) for end in ends] == [
-                (size - 3, it.Outcome.MOOT),
-                (size, it.Outcome.MOOT),
+                (size - 3, it.Outcome.NOT_SENT),
+                (size, it.Outcome.NOT_SENT),
             ]
             assert not counted.visited and not pools.to_return
 
@@ -139,7 +139,7 @@
             pools.update_host(2, pools.pools[2].address, it.HostState.DRAINING, 0.0)
             pools.start(_attempt_at(world, 2))
             pools.return_waiting()
-            assert (await log.ended()).outcome is it.Outcome.MOOT
+            assert (await log.ended()).outcome is it.Outcome.NOT_SENT
             await asyncio.sleep(0)
             assert world.hosts[0].commands.empty()
 
--- a/tests/test_node_services.py
+++ b/tests/test_node_services.py
@@ -622,7 +622,7 @@
             for action in (it.Refuse(99), it.Fail(99), it.Cancel(99, 0), it.Send(99, 1)):
                 node._perform[type(action)](action, node.clock.now())
             assert [(e.outcome, e.final) for e in seen if isinstance(e, it.AttemptEnded)] == [
-                (it.Outcome.MOOT, True)
+                (it.Outcome.NOT_SENT, True)
             ]
             client = await world.client()
             client.ask(b"1")
--- a/tests/test_node_size.py
+++ b/tests/test_node_size.py
@@ -346,7 +346,7 @@
     host = drive.gate.hosts[send.host]
     assert host.open_attempts == 0
     assert not of(drive.run_for(4000.0), it.Cancel) and host.failures == 0  # an upload of four seconds
-    drive.feed(it.BodyWhole(send.request, drive.now + 5000))
+    drive.feed(it.BodyComplete(send.request, drive.now + 5000))
     assert host.open_attempts == 1
     drive.now += 100.0
     drive.feed(it.StreamBegan(send.request, 0))
@@ -367,7 +367,7 @@
     send = _one(drive, whole=False)
     again = of(drive.feed(it.AttemptEnded(send.request, 0, send.host, outcome, 50.0, False)), it.Send)
     assert again  # nothing of it had gone
-    end = it.AttemptEnded(send.request, 1, again[0].host, outcome, 50.0, False, spent=True)
+    end = it.AttemptEnded(send.request, 1, again[0].host, outcome, 50.0, False, body_consumed=True)
     ended: list[Any] = drive.feed(end)
     assert not of(ended, it.Send) and of(ended, it.Refuse)
     assert all(host.open_attempts == 0 for host in drive.gate.hosts.values())
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -14,7 +14,7 @@
 from rainturn.decisions import Gateway
 from tests.helpers import LIMITS, Drive, of, settings
 
-UNRUN = (it.Outcome.FULL, it.Outcome.UNREACHABLE, it.Outcome.MOOT)
+UNRUN = (it.Outcome.FULL, it.Outcome.UNREACHABLE, it.Outcome.NOT_SENT)
 CEILED = it.Plan(price=1, rate=50, burst=50, ceiling_rate=5, ceiling_burst=10, ceiling_slack=1)
 
 
