--- a/rainturn/settings.py
+++ b/rainturn/settings.py
@@ -59,7 +59,7 @@
     return it.build_settings(it.RequestClass, values)
 
 
-def read_settings(body: bytes) -> it.Settings:
+def parse_settings(body: bytes) -> it.Settings:
     """Parse a settings object from JSON; raises a ValueError that names a wrong setting."""
     try:
         source = json.loads(body)
