--- a/tests/test_module.py
+++ b/tests/test_module.py
@@ -1,4 +1,4 @@
-"""Worked examples of the module: estimate and tiers, quotas, hosts, and the limits on the file itself."""
+"""Tests of the decision module: admission by tiers, quotas, slots, hosts, timers and file sizes."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
 
 def overload(board: Tiers, arrivals: list[int], served: int, out: int, now: float = 0.0) -> None:
-    """One period in which everything asked was sent and `served` of it departed."""
+    """Run one period: all `arrivals`, by tier, are admitted, `served` are answered and `out` stay open."""
     for tier, count in enumerate(arrivals):
         for _ in range(count):
             board.admit(tier)
@@ -41,7 +41,7 @@
     assert [board.of(w) for w in (10, 9.8, 5, 1, 0.1)] == [0, 0, 1, 2, 2]
 
 
-def test_tiers_fill_top_down_and_the_boundary_tier_gets_a_part() -> None:
+def test_tiers_fill_from_the_top_and_the_boundary_tier_is_admitted_in_part() -> None:
     board = tiers(9, 3, 1)
     for _ in range(4):
         overload(board, [10, 20, 30], 40, 40)
@@ -54,11 +54,11 @@
     assert board.cut == 1 and abs(board.share - (TARGET * 40 - 10) / 40) < 1e-6
     assert all(board.admit(0) for _ in range(10)) and not any(board.admit(2) for _ in range(30))
     assert 25 <= sum(board.admit(1) for _ in range(40)) <= 27
-    assert sum(board.admit(1) for _ in range(400)) <= 2, "a surge inside the period spends no more"
+    assert sum(board.admit(1) for _ in range(400)) <= 2, "a surge within the period gets no further budget"
 
 
-def test_a_boundary_share_under_one_request_is_kept_over_periods() -> None:
-    """Thin slices: a budget of 0.25 requests a period is one in four periods, not none and not four."""
+def test_a_boundary_budget_below_one_request_carries_over_between_periods() -> None:
+    """A budget of 0.25 requests per period admits one request in four periods, not none and not four."""
     board = tiers(9, 1)
     passed = 0
     for _ in range(400):
@@ -67,8 +67,8 @@
     assert 90 <= passed <= 110
 
 
-def test_thin_evidence_gathers_over_periods_and_one_late_answer_cuts_nothing() -> None:
-    """A gateway with an answer a period marks an overload all the same, and not by a single late answer."""
+def test_few_answers_add_up_over_periods_and_one_late_answer_is_no_overload() -> None:
+    """A gateway with one answer per period still detects an overload, but not by a single late answer."""
     board = tiers(1)
     for period in range(12):
         board.admit(0)
@@ -82,7 +82,7 @@
     assert 0.0 < board.capacity < 2.0
 
 
-def test_nothing_is_cut_without_a_mark_and_no_previous_arrivals_divide_by_nothing() -> None:
+def test_all_tiers_pass_without_an_overload_mark_and_no_arrivals_cause_no_division_by_zero() -> None:
     board = tiers(9, 1)
     board.roll(0.0, 0)
     assert board.cut == 2
@@ -92,15 +92,15 @@
     assert board.cut == 1 and board.share < 0.1
 
 
-def test_backlog_fills_first() -> None:
+def test_backlog_takes_capacity_before_new_requests() -> None:
     board = tiers(9, 1)
     board.capacity, board.arrived = 10.0, [5, 5]
     board._fill(20.0)
     assert (board.cut, board.share) == (0, 0.0)
 
 
-def test_one_sick_host_sets_no_mark() -> None:
-    """Guards against a cut of everybody for one host; fails if marks count the worst host's answers."""
+def test_one_failing_host_is_no_overload() -> None:
+    """Guards against refusing all customers because of one host: its answers must not count as overload."""
     board = tiers(1)
     for n in range(40):
         board.note(n % 4, 0.0, True, False, 0.2)
@@ -110,8 +110,8 @@
     assert board.capacity == 0.0
 
 
-def test_answers_from_before_the_mark_do_not_mark_again() -> None:
-    """Incident 1: a backlog marked period after period until nothing was let in."""
+def test_answers_to_requests_from_before_an_overload_mark_do_not_mark_again() -> None:
+    """Incident 1: a backlog set an overload mark in each period until no request was admitted."""
     board = tiers(1)
     for n in range(40):
         board.admit(0)
@@ -126,8 +126,8 @@
     assert board.capacity >= first and board.marked_at == 1000.0
 
 
-def test_a_stall_of_departures_is_not_taken_for_capacity() -> None:
-    """Incident 1: one silent second set capacity near 0 and the lift took the rest of the day."""
+def test_a_pause_in_answers_is_not_taken_for_low_capacity() -> None:
+    """Incident 1: a second without answers set the capacity near 0, and recovery took the rest of the day."""
     board = tiers(1)
     for _ in range(5):
         overload(board, [100], 80, 10)
@@ -138,8 +138,8 @@
     assert board.capacity >= 50
 
 
-def test_a_few_gathered_requests_are_chance() -> None:
-    """Guards against cuts of a quiet gateway; it can delay a true mark on tiny ones."""
+def test_a_small_random_backlog_is_no_overload() -> None:
+    """Guards against refusals at a gateway with little traffic; it may detect a real overload later."""
     board = tiers(1)
     for _ in range(5):
         overload(board, [10], 10, 3)
@@ -147,7 +147,7 @@
     assert board.capacity == 0.0
 
 
-def test_the_cut_lifts_after_the_pressure() -> None:
+def test_all_tiers_are_admitted_again_after_an_overload() -> None:
     board = tiers(9, 1)
     for _ in range(3):
         overload(board, [20, 40], 20, 200)
@@ -157,7 +157,7 @@
     assert board.cut == 2
 
 
-WIDE = 40.0  # a spread at which an even share of the burst is far under one request
+WIDE = 40.0  # a spread at which an even share of the burst is far below one request
 
 
 def known_customer(level: float = 8.0, now: float = 1000.0, spread: float = 2.0) -> Customer:
@@ -168,24 +168,24 @@
 
 
 def begins(window: int) -> float:
-    """When a window of the customer 1 begins."""
+    """Return when a window of customer 1 begins, ms."""
     customer = new_customer(1, PLAN, 1.0, 0.0, 0.0)
     return window * customer.window_ms - customer.window_phase
 
 
-def test_a_new_customer_starts_with_its_share_of_the_burst() -> None:
+def test_a_new_customer_starts_with_an_even_share_of_the_burst() -> None:
     assert new_customer(1, PLAN, 2.0, 0.0, 0.0).level == 4.0
 
 
-def test_a_total_shows_what_others_took() -> None:
+def test_a_total_shows_the_units_that_others_took() -> None:
     customer = known_customer()
     customer.total = 10.0
     quota.learn(customer, 1000.0, CounterCall(0, 1.0, 1.0), 14.0)
     assert abs(customer.level - 5.0) < 0.01 and customer.total == 14.0
 
 
-def test_an_overrun_elsewhere_takes_nothing_from_the_store_and_its_give_back_adds_nothing() -> None:
-    """Case 5757: units sent beyond the quota elsewhere were booked as used, for seconds of refusals."""
+def test_an_overrun_at_another_gateway_takes_no_stored_units_and_its_return_adds_none() -> None:
+    """Case 5757: units sent beyond the quota at other gateways counted as used: seconds of refusals."""
     customer = known_customer(1.0)
     customer.total = 9.0
     quota.learn(customer, 1000.0, CounterCall(0, 0.0, 0.0), 13.0)
@@ -197,8 +197,8 @@
     assert abs(customer.level - 6.0) < 0.1
 
 
-def test_the_store_carries_over_into_the_next_window() -> None:
-    """A fresh window does not forget what this gateway saw of the last one."""
+def test_the_level_carries_over_into_the_next_window() -> None:
+    """Guards against a new window that starts full although this gateway saw the last one used up."""
     customer = known_customer(1.0)
     customer.total_at = customer.window_ms
     quota.learn(customer, customer.window_ms, CounterCall(1, 0.0, 0.0), 0.0)
@@ -206,8 +206,11 @@
 
 
 @pytest.mark.parametrize("remembers", [False, True])
-def test_the_last_window_s_debt_is_carried_by_whoever_comes_first(remembers: bool) -> None:
-    """One gateway reads it and adds it, also one that knows of it itself: all others see a full store."""
+def test_the_first_gateway_in_a_window_carries_over_the_debt_of_the_last_one(remembers: bool) -> None:
+    """Guards against all other gateways taking the bucket for full: the first one reads the debt and adds it.
+
+    It does so even if it knows the debt itself.
+    """
     drive = Drive(settings(), now=begins(8) - 100.0)
     if remembers:
         call = of(drive.arrive(0, spread=WIDE)[1], it.Count)[0]
@@ -216,20 +219,21 @@
     call = of(drive.arrive(0, spread=WIDE)[1], it.Count)[0]
     read = of(got := drive.count(call, 1.0), it.Count)
     assert [(c.name, c.amount) for c in read] == [(call.name - 1, 0.0)]
-    assert not of(got, it.Send) and not of(got, it.Refuse), "the try waits for it"
+    assert not of(got, it.Send) and not of(got, it.Refuse), "the request waits for the debt"
     got = drive.count(read[0], PLAN.rate * drive.gate.customers[1].window_ms / 1000 + 5.0)
     debt = of(got, it.Count)
     assert [(c.name, round(c.amount, 3)) for c in debt] == [(call.name, 5.0)] and of(got, it.Send)
     assert not of(drive.count(debt[0], 6.0), it.Refuse)
     other = Drive(settings(), now=begins(8) + 100.0)
     call = of(other.arrive(0, spread=WIDE)[1], it.Count)[0]
-    assert not of(other.count(call, 7.0), it.Count), "it is not the first"
+    assert not of(other.count(call, 7.0), it.Count), "it is not the first gateway in this window"
 
 
-def test_two_that_come_first_find_out_and_one_takes_its_debt_back() -> None:
-    """calm+mass: units given back over the turn of a window left its count below nothing, and two came first.
+def test_two_gateways_that_both_add_the_debt_notice_and_one_takes_it_back() -> None:
+    """Day calm+mass: units returned after the end of a window left the new count below 0.
 
-    A customer was refused for a whole window with half of its store and more unused.
+    Two gateways then took themselves for the first, and the customer was refused for a whole window with at
+    least half of its bucket unused.
     """
     drives = [Drive(settings(gateway=n), now=begins(8) + 100.0) for n in range(2)]
     calls = [(drive, call) for drive in drives for call in of(drive.arrive(0, spread=WIDE)[1], it.Count)]
@@ -237,7 +241,7 @@
     told = []
     while calls:
         answers = []
-        for drive, call in calls:  # all of a round are added before any is answered
+        for drive, call in calls:  # all calls of a round are added before any is answered
             totals[call.name] += call.amount
             answers.append((drive, call, totals[call.name]))
             told += [call.amount] * bool(call.amount)
@@ -247,7 +251,7 @@
     assert told == [1.0, 1.0, 6.0, 6.0, -6.0]
 
 
-def test_a_window_whose_last_one_can_t_be_read_begins_without_its_debt() -> None:
+def test_a_window_begins_without_debt_if_the_last_count_cannot_be_read() -> None:
     drive = Drive(settings(), now=begins(8) + 100.0)
     call = of(drive.arrive(0, spread=WIDE)[1], it.Count)[0]
     read = of(drive.count(call, 1.0), it.Count)[0]
@@ -267,12 +271,12 @@
         (40, 3.0, True),
     ],
 )
-def test_over_many_windows_a_fleet_lets_in_what_the_store_holds_and_makes_few_calls(
+def test_over_many_windows_gateways_together_admit_the_quota_with_few_calls(
     gateways: int, times: float, loses: bool
 ) -> None:
-    """calm+mass: in each new window most gateways took the store for full: its debt was not carried over.
+    """Day calm+mass: in each new window most gateways took the bucket for full, as no debt was carried over.
 
-    And as they did when the counter had lost its counts, in the middle of a window.
+    The same happened when the counter had lost its counts in the middle of a window.
     """
     rng = random.Random(gateways)
     drives = [Drive(settings(gateways=gateways, gateway=n)) for n in range(gateways)]
@@ -323,13 +327,16 @@
 
 
 @pytest.mark.parametrize("gateways", [3, 40, 200])
-def test_one_store_is_not_taken_by_several_that_read_it_at_once(gateways: int) -> None:
-    """A gateway that is mostly refused reads first; what then seems to fit asks, as others read the same."""
+def test_gateways_that_read_a_count_at_once_do_not_all_take_the_same_units(gateways: int) -> None:
+    """A gateway whose requests are mostly refused first reads the count, without claiming units.
+
+    Requests that then seem to fit must claim their units, as other gateways may have read the same total.
+    """
     drives = [Drive(settings(gateways=gateways, gateway=n), now=begins(8) + 3000.0) for n in range(gateways)]
     total, reads = PLAN.burst + PLAN.rate * 3.0, []
     for drive in drives:
         call = of(drive.arrive(0, spread=WIDE)[1], it.Count)[0]
-        drive.count(call, total + 1.0)  # denied, and given back
+        drive.count(call, total + 1.0)  # refused; its unit is given back
         drive.count(of(drive.done, it.Count)[-1], total)
         drive.gate.customers[1].pass_share = 0.1
         drive.now += 3000.0
@@ -347,8 +354,8 @@
 
 
 @pytest.mark.parametrize("gateways", [3, 40, 200])
-def test_lost_counts_are_told_again_by_who_read_them_last_also_without_another_try(gateways: int) -> None:
-    """calm+mass of fjord-billett: the counter lost its counts, and all customers got their burst again."""
+def test_lost_counts_are_restored_by_their_last_readers_without_further_requests(gateways: int) -> None:
+    """Day calm+mass of fjord-billett: the counter lost its counts; all customers got their burst again."""
     start, totals = begins(8) + 3000.0, dict[int, float]()
     drives = [Drive(settings(gateways=gateways, gateway=n), now=start) for n in range(gateways)]
     ages = {
@@ -356,7 +363,7 @@
         for key in range(1, 100)
         for customer in [new_customer(key, PLAN, WIDE, 0.0, 0.0)]
     }
-    short = [key for key, age in ages.items() if 2000.0 < age < 6000.0][:8]  # their windows go on for long
+    short = [key for key, age in ages.items() if 2000.0 < age < 6000.0][:8]  # their windows last longer
 
     def settle(drive: Drive, actions: list[it.Action]) -> None:
         for call in of(actions, it.Count):
@@ -367,7 +374,7 @@
         for drive in drives:
             settle(drive, drive.run_for(span))
 
-    for turn in range(160):  # each customer comes to some gateways, until its store is empty
+    for turn in range(160):  # each customer uses several gateways until its bucket is empty
         drive = drives[turn // 8 * 5 % min(gateways, 24)]
         drive.now = start + turn
         settle(drive, drive.arrive(0, customer=short[turn % 8], spread=WIDE)[1])
@@ -375,7 +382,7 @@
     before = {name: total for name, total in totals.items() if total > 1.0}
     assert len(before) == 8
     totals.clear()
-    for turn in range(min(gateways, 24)):  # the first customer comes again everywhere: it shows the loss
+    for turn in range(min(gateways, 24)):  # the first customer uses each again, which reveals the loss
         drive = drives[19 * 5 % min(gateways, 24) - turn]
         settle(drive, drive.arrive(0, customer=short[0], spread=WIDE)[1])
     wait(2500.0)
@@ -384,8 +391,11 @@
 
 
 @pytest.mark.parametrize("fallen", [False, True])
-def test_after_a_loss_a_customer_whom_nobody_here_knows_is_taken_to_have_half_a_store(fallen: bool) -> None:
-    """It may have been full or empty; told, all gateways see the same. Empty counts alone prove no loss."""
+def test_after_lost_counts_an_unknown_customer_is_given_half_a_bucket(fallen: bool) -> None:
+    """The bucket may have been full or empty; the count is set so that all gateways see the same.
+
+    Empty counts alone prove no loss.
+    """
     start = begins(8) + 6000.0
     ages = {
         key: customer.window_age(start, customer.window_at(start))
@@ -395,7 +405,7 @@
     others = [key for key, age in ages.items() if 4000.0 < age < 8000.0]
     drive = Drive(settings(), now=start)
     call = of(drive.arrive(0, spread=WIDE)[1], it.Count)[0]
-    drive.count(call, 20.0)  # of 8 and 12 refilled: the store is empty
+    drive.count(call, 20.0)  # of 8 units and 12 refilled: the bucket is empty
     while calls := [call for call in of(drive.done, it.Count) if call.amount < 0.0]:
         drive.done.clear()
         drive.count(calls[0], 19.0)
@@ -405,14 +415,17 @@
     drive.now += 10.0
     call = of(drive.arrive(0, customer=others[0], spread=WIDE)[1], it.Count)[0]
     got = drive.count(call, 1.0)
-    while not of(got, it.Send):  # the last window's total is asked for unless it is lost as well
+    while not of(got, it.Send):  # the last window's total is read first unless it is lost as well
         got = drive.count(of(got, it.Count)[0], 0.0)
     level = drive.gate.customers[others[0]].level
     assert PLAN.burst / 2 - 1.5 <= level <= PLAN.burst / 2 if fallen else level == PLAN.burst - 1.0
 
 
-def test_units_let_in_without_a_call_are_told_soon_also_if_the_customer_does_not_come_again() -> None:
-    """calm+mass: they waited for the customer's next try there, and all others took them for free."""
+def test_units_admitted_without_a_call_are_reported_soon_even_without_another_request() -> None:
+    """Day calm+mass: the report waited for the customer's next request at that gateway.
+
+    Meanwhile all other gateways took these units for unused.
+    """
     drive = Drive(settings())
     drive.gate.calls.load.value, drive.gate.calls.load.at = 4.0, drive.now  # few calls are made
     drive.gate.rng.seed(1)
@@ -428,8 +441,8 @@
 
 
 @pytest.mark.parametrize("gateways", [3, 48])
-def test_a_burst_through_many_gateways_in_mid_window_stays_within_the_store(gateways: int) -> None:
-    """Days at size: a gateway that saw a customer first took what others had just used for long refilled."""
+def test_a_burst_through_many_gateways_in_mid_window_stays_within_the_bucket(gateways: int) -> None:
+    """Days with large fleets: a gateway new to a customer took units just used by others for refilled."""
     now = begins(10) + 10_000.0
     drives = [Drive(settings(gateways=gateways, gateway=n), now=now) for n in range(gateways)]
     totals: dict[int, float] = {}
@@ -449,14 +462,14 @@
     assert PLAN.burst - 1 <= sent <= PLAN.burst + 1
 
 
-def test_two_that_tell_the_same_overflow_find_out_and_one_takes_it_back() -> None:
+def test_two_gateways_that_report_the_same_overflow_notice_and_one_takes_it_back() -> None:
     drives = [Drive(settings(gateway=n), now=begins(10) + 10_000.0) for n in range(2)]
     totals: dict[int, float] = {}
     calls = [(drive, call) for drive in drives for call in of(drive.arrive(0)[1], it.Count)]
     told = []
     while calls:
         answers = []
-        for drive, call in calls:  # all of a round are added before any is answered
+        for drive, call in calls:  # all calls of a round are added before any is answered
             totals[call.name] = totals.get(call.name, 0.0) + call.amount
             answers.append((drive, call, totals[call.name]))
             told += [round(call.amount, 1)] * bool(call.amount)
@@ -468,16 +481,16 @@
     assert abs(max(totals.values()) - full - 2.0) < 1.1
 
 
-def test_what_was_let_in_beyond_an_empty_store_is_taken_off_the_count_again() -> None:
+def test_units_admitted_beyond_an_empty_bucket_are_taken_off_the_count() -> None:
     customer = known_customer()
-    quota.reconcile(customer, 1000.0, CounterCall(0, 5.0, 1.0, 4.0), 14.0)  # 9 before it; of 10 one was left
+    quota.reconcile(customer, 1000.0, CounterCall(0, 5.0, 1.0, 4.0), 14.0)  # total 9 of 10 before it: 1 left
     assert abs(customer.correction + 3.0) < 0.01
     quota.reconcile(customer, 1000.0, CounterCall(0, 5.0, 1.0, 4.0), 9.0)
     assert customer.correction == 0.0
 
 
-def test_a_crowded_counter_is_not_called_to_put_counts_right() -> None:
-    """The earlier days: beside a slow counter such calls took the place of others, one in four was lost."""
+def test_an_overloaded_counter_gets_few_calls_that_only_correct_counts() -> None:
+    """Earlier days with a slow counter: correcting calls displaced others, of which one in four was lost."""
     made = 0
     for n in range(40):
         drive = Drive(settings(gateway=n % 2), now=130_000.0)
@@ -487,8 +500,8 @@
     assert made <= 10
 
 
-def test_a_store_just_seen_empty_is_not_asked_about_again() -> None:
-    """Case 5757: most calls were made for tries that the last total had ruled out milliseconds before."""
+def test_a_bucket_just_seen_empty_causes_no_further_call() -> None:
+    """Case 5757: most calls were for requests that the last total had ruled out milliseconds before."""
     drive = Drive(settings())
     call = of(drive.arrive(0)[1], it.Count)[0]
     customer = drive.gate.customers[1]
@@ -503,10 +516,10 @@
     got = drive.arrive(0)[1]
     assert of(got, it.Refuse) and not of(got, it.Count)
     drive.now += 100.0
-    assert of(drive.arrive(0)[1], it.Count), "it may hold one by now"
+    assert of(drive.arrive(0)[1], it.Count), "the bucket may hold a unit by now"
 
 
-def test_an_old_total_rules_nothing_out_as_others_may_have_given_back() -> None:
+def test_an_old_total_rules_out_nothing_because_others_may_have_returned_units() -> None:
     drive = Drive(settings(plans=(replace(PLAN, rate=0.5),)))
     call = of(drive.arrive(0)[1], it.Count)[0]
     customer = drive.gate.customers[1]
@@ -518,15 +531,15 @@
     assert of(drive.arrive(0)[1], it.Count)
 
 
-def test_lost_counts_hand_out_nothing() -> None:
+def test_a_total_that_shows_lost_counts_adds_no_units() -> None:
     customer = known_customer(3.0)
     customer.total = 50.0
     quota.learn(customer, 1000.0, CounterCall(0, 1.0, 1.0), 1.0)
     assert customer.level == 3.0 and customer.total == 1.0
 
 
-def test_gateways_that_see_a_customer_once_keep_the_quota_together() -> None:
-    """Wide spread: each of many gateways gets one try and one total, and the sum stays near the quota."""
+def test_gateways_that_see_a_customer_only_once_keep_its_quota_together() -> None:
+    """With a wide spread each gateway gets one request and one total; together they stay near the quota."""
     sent, total = 0, 0.0
     span = new_customer(1, PLAN, WIDE, 0.0, 0.0).window_ms
     for n in range(400):
@@ -534,14 +547,14 @@
         got = drive.arrive(0, spread=WIDE)[1]
         while calls := of(got, it.Count):
             total += calls[0].amount
-            got = drive.count(calls[0], total if calls[0].ttl > 1.0 else 0.0)  # no use of the last window
+            got = drive.count(calls[0], total if calls[0].ttl > 1.0 else 0.0)  # the last window was not used
             sent += len(of(got, it.Send))
     quota = PLAN.burst + PLAN.rate * span / 1000
     assert abs(sent - quota) <= 2
 
 
-def test_a_quiet_customer_is_not_refused_for_its_spread() -> None:
-    """An empty mirror says nothing: a first try at one of many gateways goes by the total."""
+def test_a_customer_with_few_requests_is_not_refused_because_of_its_spread() -> None:
+    """A low level at one of many gateways proves nothing: the total decides on the first request there."""
     drive = Drive(settings())
     drive.gate.calls.load.value = 0.0
     call = of(drive.arrive(0, spread=WIDE)[1], it.Count)[0]
@@ -549,7 +562,7 @@
 
 
 def _admitted(outcome: it.Outcome, seconds: int = 60) -> int:
-    """Sent in so many seconds of steady excess at one of two gateways while every counter call fails."""
+    """Count what one of two gateways sends under steady excess load while every counter call fails."""
     drive = Drive(settings())
     sent = 0
     for _ in range(seconds * 10):
@@ -562,13 +575,13 @@
     return sent
 
 
-def test_a_silent_or_refusing_counter_leaves_the_own_share() -> None:
-    """Never all-open, never all-closed."""
+def test_without_the_counter_a_gateway_admits_its_own_share() -> None:
+    """Guards against admitting everything or nothing while the counter is silent or refuses calls."""
     for outcome in (it.Outcome.TIMEOUT, it.Outcome.FULL, it.Outcome.UNREACHABLE):
         assert 0.3 * 60 * PLAN.rate < _admitted(outcome) < 0.8 * 60 * PLAN.rate + 2 * PLAN.burst
 
 
-def test_calls_pause_while_the_counter_fails() -> None:
+def test_counter_calls_pause_while_the_counter_fails() -> None:
     drive = Drive(settings())
     for _ in range(100):
         got = drive.arrive(0)[1] + drive.run_for(100.0)
@@ -577,8 +590,8 @@
     assert len(of(drive.done, it.Count)) < 30
 
 
-def test_a_call_lost_now_and_then_is_no_crowd() -> None:
-    """Case 2256: one call in thirty was lost on silent connections, and an eighth of all were made."""
+def test_an_occasional_lost_call_is_no_overload_of_the_counter() -> None:
+    """Case 2256: one call in thirty was lost on silent connections, and only an eighth of all were made."""
     drive = Drive(settings())
     shares = []
     for n in range(300):
@@ -592,15 +605,15 @@
     assert drive.gate.calls.share(drive.now) < 0.1
 
 
-def test_calls_come_back_after_an_outage() -> None:
-    """Guards against a counter left unused because its failures are remembered."""
+def test_counter_calls_resume_after_an_outage() -> None:
+    """Guards against a counter that stays unused because of past failures."""
     drive = Drive(settings())
     drive.gate.calls.load.value, drive.gate.calls.load.at = FAILED_LOAD, drive.now  # every call has failed
     assert drive.gate.calls.share(drive.now) < 0.1
     assert drive.gate.calls.share(drive.now + 15_000.0) == 1.0
 
 
-def test_units_of_a_try_refused_after_asking_are_given_back() -> None:
+def test_units_of_a_request_refused_after_its_call_are_given_back() -> None:
     drive = Drive(settings())
     _, got = drive.arrive(0)
     call = of(got, it.Count)[0]
@@ -610,7 +623,7 @@
 
 
 def test_held_requests_do_not_burst_through_the_ceiling() -> None:
-    """Incident 3: parked requests had drawn their ceiling units long before they were sent together."""
+    """Incident 3: held requests had taken their ceiling units long before they were sent all at once."""
     plan = it.Plan(price=1, rate=20, burst=40, ceiling_rate=4, ceiling_burst=8, ceiling_slack=1)
     drive = Drive(settings(plans=(plan,), counter=False), fleet=0)
     drive.run_for(5000.0)
@@ -620,7 +633,7 @@
     assert 0 < len(of(drive.done, it.Send)) <= (8 + 0.5) / 2 + 1
 
 
-def test_a_silent_host_loses_its_requests_and_a_talking_one_keeps_them() -> None:
+def test_requests_move_off_a_silent_host_and_stay_at_one_that_answers() -> None:
     drive = Drive(settings(plans=()))
     _, got = drive.arrive(0)
     first = of(got, it.Send)[0]
@@ -634,8 +647,8 @@
     assert not of(busy.run_for(900.0), it.Send)
 
 
-def test_a_silent_connection_of_a_talking_host_does_not_keep_its_request() -> None:
-    """Case 2256: connections went silent while their hosts answered on others; requests waited to the end."""
+def test_a_request_on_a_silent_connection_moves_although_its_host_answers_others() -> None:
+    """Case 2256: connections went silent while their hosts answered on others; requests waited in vain."""
     drive = Drive(settings(plans=()), fleet=1)
     silent = of(drive.arrive(0)[1], it.Send)[0]
     drive.feed(hosts(2))
@@ -644,18 +657,18 @@
         drive.now += 100.0
         drive.gate.host_choice.answered(drive.now, drive.gate.hosts[silent.host], 1.0)
         moved += [tenth for a in of(drive.feed(it.TimerFired(0)), it.Send) if a.request == silent.request]
-    assert len(moved) == 1 and moved[0] >= 10, "slow answers are waited for"
+    assert len(moved) == 1 and moved[0] >= 10, "a slow answer is waited for"
     assert drive.gate.hosts[silent.host].failures == 0
 
 
-def test_patience_with_hosts_that_are_rarely_used() -> None:
-    """Guards against calling off good requests; it can leave a request longer at a host just gone silent."""
+def test_a_rarely_used_host_gets_more_time_to_answer() -> None:
+    """Guards against moving requests that would be answered. The cost: one waits longer at a silent host."""
     drive = Drive(settings(plans=()))
     drive.arrive(0)
     assert not of(drive.run_for(700.0), it.Send)
 
 
-def test_unknown_things_are_harmless() -> None:
+def test_events_about_unknown_objects_cause_no_attempt() -> None:
     drive = Drive(settings())
     for event in (
         it.AttemptEnded(99, 0, 1, it.Outcome.OK, 5.0, True),
@@ -670,7 +683,7 @@
         assert not of(drive.feed(event), it.Send)
 
 
-def test_no_host_no_plan_and_no_quota_lose_no_request() -> None:
+def test_a_request_is_answered_even_without_hosts_plan_or_quota() -> None:
     for drive, plan in (
         (Drive(settings(), fleet=0), 0),
         (Drive(settings(), fleet=0), 9),
@@ -683,15 +696,15 @@
         assert of(drive.done, it.Refuse) == [it.Refuse(number)]
 
 
-def test_parallel_attempts_wait_for_a_slot() -> None:
+def test_an_attempt_beyond_the_cap_waits_for_a_slot() -> None:
     drive = Drive(settings(plans=(replace(PLAN, parallel=2),), counter=False))
     first = of(drive.arrive(0)[1], it.Send)[0]
     assert not of(drive.arrive(0)[1], it.Send)
     assert of(drive.end(first, it.Outcome.OK), it.Send)
 
 
-def test_a_cap_on_open_attempts_holds_over_all_gateways_and_is_used_by_one() -> None:
-    """Case 2256: an even split refused where all traffic came through one gateway, and overrun by four."""
+def test_a_cap_on_open_attempts_holds_across_gateways_and_one_may_use_all_of_it() -> None:
+    """Case 2256: an even split refused traffic through one gateway, and traffic through four overran it."""
     plan = replace(PLAN, rate=0, parallel=2)
     drives = [Drive(settings(plans=(plan,), gateways=4, gateway=n)) for n in range(4)]
     total, out, lose = 0.0, 0, False
@@ -712,15 +725,15 @@
     assert out == 2, "one gateway may use all of it"
     for drive in drives:
         settle(drive, drive.arrive(spread=4.0)[1])
-    assert out == 2 and held() == 2, "what others hold is refused, and claims on it are given back"
+    assert out == 2 and held() == 2, "slots that others hold are not granted; claims on them are given back"
     lose = True
     for send in of(drives[0].done, it.Send)[:2]:
         settle(drives[0], drives[0].end(send, it.Outcome.OK))
     lose = False
-    assert out == 3 and held() == 1, "a slot goes to who waits here first, the other one is told free"
+    assert out == 3 and held() == 1, "one slot goes to the request waiting here, the other is reported free"
     settle(drives[1], drives[1].run_for(300.0))
     assert out == 4 and held() == 2
-    total -= base  # a claim that was answered and yet lost
+    total -= base  # the counter loses a claim that it has answered
     for drive in drives:
         for send in of(drive.done, it.Send):
             settle(drive, drive.end(send, it.Outcome.OK))
@@ -729,8 +742,8 @@
 
 
 @pytest.mark.parametrize("gateways", [3, 48])
-def test_a_cap_on_open_attempts_holds_over_a_fleet_of_any_size(gateways: int) -> None:
-    """Days at size: without room for a place each, 40 gateways let through an attempt each."""
+def test_a_cap_on_open_attempts_holds_for_any_number_of_gateways(gateways: int) -> None:
+    """Days with large fleets: the count has no digit for each gateway, and 40 sent an attempt each."""
     plan = replace(PLAN, rate=0, parallel=2)
     drives = [Drive(settings(plans=(plan,), gateways=gateways, gateway=n)) for n in range(gateways)]
     totals: dict[int, float] = {}
@@ -754,11 +767,11 @@
             settle(drive, drive.end(send, it.Outcome.OK))
         for drive in drives:
             settle(drive, drive.run_for(20.0))
-    assert served >= 3 and set(totals.values()) == {0.0}, "slots are used again, and none is left behind"
+    assert served >= 3 and set(totals.values()) == {0.0}, "slots are reused, and all are given back"
 
 
-def test_a_counter_that_refuses_at_once_is_not_called_about_open_attempts_again_and_again() -> None:
-    """A release was repeated at each refusal, thousands of times within an outage."""
+def test_a_slot_call_that_fails_at_once_is_not_repeated_at_once() -> None:
+    """Guards against repeating the release of a slot at each failure, thousands of times in an outage."""
     drive = Drive(settings(plans=(replace(PLAN, rate=0, parallel=2),)))
     claim = of(drive.arrive(0)[1], it.Count)[0]
     send = of(drive.count(claim, claim.amount), it.Send)[0]
@@ -774,11 +787,11 @@
             drive.count(call, 0.0, it.Outcome.UNREACHABLE)
     assert 2 <= made <= 30
     late = of(drive.run_for(2400.0), it.Count)
-    assert late and late[0].amount == -claim.amount, "the slot is given back once the counter is there again"
+    assert late and late[0].amount == -claim.amount, "the slot is given back later on"
 
 
-def test_an_attempt_whose_client_left_fills_the_cap_until_it_ends() -> None:
-    """Case 2256: clients left, their slots were used again while the hosts still worked for them."""
+def test_an_attempt_keeps_its_slot_after_its_client_has_left() -> None:
+    """Case 2256: slots of clients that had left were reused while hosts still worked on their requests."""
     drive = Drive(settings(plans=(replace(PLAN, parallel=1),), counter=False))
     number, got = drive.arrive(0)
     first = of(got, it.Send)[0]
@@ -789,13 +802,13 @@
     assert not drive.gate.attempts.ended
 
 
-def test_subscribes_where_the_list_must_be_asked_for() -> None:
+def test_the_host_list_is_subscribed_to_at_the_start_and_after_a_failure() -> None:
     gate = Gateway(settings(asks_for_list=True), 1)
     assert it.WatchList(True) in gate.handle(0.0, hosts(1))
     assert it.WatchList(True) in gate.handle(9.0, it.HostList(it.ListKind.FAILED))
 
 
-def test_the_module_keeps_its_limits() -> None:
+def test_the_module_keeps_its_size_limits() -> None:
     files = {path.name: path.read_text().splitlines() for path in (ROOT / "rainturn/decisions").glob("*.py")}
     sizes = {name: sum(1 for line in lines if line.strip()) for name, lines in files.items()}
     assert sum(sizes.values()) <= 1200 and max(sizes.values()) < 400, sizes
@@ -836,7 +849,7 @@
     assert len(runs[0]) > 1000 and runs[0] == runs[1] == runs[2]
 
 
-def test_limits_are_settings() -> None:
+def test_without_duplicates_a_request_moves_only_after_a_cancel() -> None:
     drive = Drive(settings(plans=(), limits=replace(LIMITS, may_duplicate=False)))
     send = of(drive.arrive(0)[1], it.Send)[0]
     got = drive.run_for(1400.0)
@@ -845,7 +858,7 @@
 
 
 def test_a_request_that_ended_while_it_waited_is_not_sent() -> None:
-    """Incident i8ed19d: refused when its hold ran out, then sent when the counter failed."""
+    """Incident i8ed19d: a request was refused after its hold, then sent when its counter call failed."""
     drive = Drive(settings())
     first, got = drive.arrive(0)
     call = of(got, it.Count)[0]
@@ -857,8 +870,8 @@
 
 
 @pytest.mark.parametrize(("gateways", "each"), [(3, 20), (3, 40), (14, 4), (48, 1), (48, 3)])
-def test_gateways_that_know_nothing_of_each_other_load_hosts_alike(gateways: int, each: int) -> None:
-    """Days at size: by chance some hosts held nine requests of forty gateways while others stood idle."""
+def test_independent_gateways_load_hosts_evenly(gateways: int, each: int) -> None:
+    """Days with large fleets: by chance some hosts held nine requests of forty gateways, others none."""
     load = dict.fromkeys(range(1, 61), 0)
     for n in range(gateways):
         drive = Drive(settings(plans=(replace(PLAN, rate=0),), gateways=gateways, gateway=n), fleet=60)
@@ -867,8 +880,8 @@
     assert max(load.values()) <= math.ceil(gateways * each / 60) + 1
 
 
-def test_a_gateway_uses_its_own_hosts_again_and_goes_on_where_they_have_work() -> None:
-    """Days at size: each of 40 gateways opened connections to all of 60 hosts."""
+def test_a_gateway_reuses_its_nearest_hosts_and_passes_over_busy_ones() -> None:
+    """Days with large fleets: each of 40 gateways opened connections to all of 60 hosts."""
     drive = Drive(settings(plans=(replace(PLAN, rate=0),), gateways=40, gateway=5), fleet=60)
     used = set()
     for _ in range(30):
@@ -880,8 +893,8 @@
     assert len(used) == 3
 
 
-def test_a_host_that_answers_with_errors_is_left_alone_for_a_while() -> None:
-    """Days at size: of those near to a gateway a host with quick errors got a request in four."""
+def test_a_host_that_answers_with_errors_is_avoided_for_a_while() -> None:
+    """Days with large fleets: a host near a gateway failed quickly and so got a request in four."""
     drive = Drive(settings(plans=(replace(PLAN, rate=0),), gateways=40, gateway=5), fleet=20)
     bad = of(drive.arrive()[1], it.Send)[0]
     drive.end(bad, it.Outcome.ERROR, elapsed=2.0)
@@ -893,11 +906,11 @@
         drive.end(send, it.Outcome.ERROR if send.host == bad.host else it.Outcome.OK)
     assert sent.count(bad.host) <= 1
     drive.now += 10_000.0
-    assert of(drive.arrive()[1], it.Send)[0].host == bad.host, "and looked at again later"
+    assert of(drive.arrive()[1], it.Send)[0].host == bad.host, "it is tried again later"
 
 
 def test_a_suspect_host_is_tried_again() -> None:
-    """Incidents i2cf20c and i915d05: suspects starved, most of a well fleet unused for the rest of a day."""
+    """Incidents i2cf20c and i915d05: suspect hosts got no requests; most healthy ones were unused all day."""
     drive = Drive(settings(plans=()), fleet=3)
     sick = drive.gate.hosts[2]
     sick.failures, sick.failing_since, sick.latency = 5, drive.now, 10.0
@@ -910,8 +923,8 @@
     assert 2 <= tried <= 6
 
 
-def test_cut_connections_make_no_host_suspect_until_nothing_else_comes_of_it() -> None:
-    """Case 1749: paths cut one connection in eight; two in a row took well hosts out of use."""
+def test_broken_connections_make_a_host_suspect_only_after_several_in_a_row() -> None:
+    """Case 1749: the network broke one connection in eight; two in a row took healthy hosts out of use."""
     drive = Drive(settings(plans=()), fleet=2)
     host = drive.gate.hosts[1]
     ends = [it.Outcome.RESET] * 3 + [it.Outcome.OK] + [it.Outcome.RESET] * 5
@@ -927,7 +940,7 @@
 
 
 def test_a_host_that_answers_again_is_used_again() -> None:
-    """Incident i2cf20c: returned hosts kept the slowness of their failures and sat idle."""
+    """Incident i2cf20c: recovered hosts kept the slowness of their failures and stayed idle."""
     drive = Drive(settings(plans=()), fleet=2)
     back = drive.gate.hosts[2]
     back.failures, back.failing_since, back.latency = 5, drive.now - 1500.0, 10.0
@@ -939,15 +952,15 @@
 
 
 def test_a_request_without_time_left_is_answered_at_once() -> None:
-    """Incident i0b9d50: it arrived at its deadline, waited for a total and ended unanswered (rule 1)."""
+    """Incident i0b9d50: a request that came at its deadline waited for a total and got no answer (rule 1)."""
     drive = Drive(settings())
     for patience in (0.0, 20.0, 40.0):
         number, got = drive.arrive(0, patience=patience)
         assert got == [it.Refuse(number)]
 
 
-def test_an_own_stand_still_is_no_evidence() -> None:
-    """A gateway that stood still finds a backlog: its times are its own, not the hosts' or the counter's."""
+def test_times_measured_across_a_stall_of_the_gateway_are_no_evidence() -> None:
+    """A stalled gateway finds a backlog of events: the delay is its own, not that of hosts or the counter."""
     drive = Drive(settings(), now=begins(8) + 4000.0)
     _, got = drive.arrive(0)
     drive.count(of(got, it.Count)[0], 9.0)
@@ -963,8 +976,8 @@
     assert got == [it.Refuse(number)]
 
 
-def test_timers_only_when_something_is_due() -> None:
-    """CPU at hundreds of gateways: an idle one wakes for its period and nothing else."""
+def test_a_gateway_wakes_only_when_something_is_due() -> None:
+    """Guards against CPU use by hundreds of gateways: an idle one wakes only for its period."""
     drive = Drive(settings())
     woken = 0
     due = [drive.now + timer.delay for timer in of(drive.done, it.SetTimer)]
@@ -976,23 +989,23 @@
     assert 15 <= woken <= 25
 
 
-def test_near_worths_are_told_apart() -> None:
+def test_worths_further_apart_than_a_band_have_different_tiers() -> None:
     board = tiers(1.4, 1.3)
     assert board.of(1.4) < board.of(1.3)
 
 
-def test_thinned_calls_do_not_chain_up_behind_one_that_is_out() -> None:
-    """A day with a slow counter: a busy customer always had a call out, and each drew the next ones."""
+def test_requests_do_not_queue_behind_an_open_call_while_calls_are_reduced() -> None:
+    """A day with a slow counter: a busy customer always had a call open, and each one caused the next."""
     drive = Drive(settings())
     first = of(drive.arrive()[1], it.Count)
     drive.gate.calls.load.value, drive.gate.calls.load.at = 4.0, drive.now
     held = sum(1 for _ in range(100) if not drive.arrive()[1])
-    assert first and held < 20, "the mirror decides on most of them at once"
+    assert first and held < 20, "the local level decides on most of them at once"
 
 
-def test_thinned_calls_tell_just_what_was_let_in() -> None:
-    """A slow counter: calls that stood for those left out counted up to half a burst for one try."""
-    drive = Drive(settings(), now=begins(8))  # nothing has run over
+def test_reduced_calls_report_exactly_the_units_admitted() -> None:
+    """With a slow counter, calls that stood for skipped ones counted up to half a burst for one request."""
+    drive = Drive(settings(), now=begins(8))  # the bucket has not overflowed
     drive.gate.calls.load.value, drive.gate.calls.load.at = 0.6, drive.now  # one call in four
     sent, told = 0, 0.0
     for _ in range(60):
@@ -1007,8 +1020,8 @@
     assert told + customer.unreported == sent and 0 < told < sent + 1
 
 
-def test_calls_go_where_they_teach_most() -> None:
-    """A slow counter: a full store and fresh news need no call; an empty one and long silence do."""
+def test_calls_are_made_where_they_tell_most() -> None:
+    """With a slow counter, a full bucket and a recent total need no call; an empty bucket or old total do."""
     drive = Drive(settings())
     customer = drive.gate.meter.customer(drive.now, it.Arrived(1, drive.now + 5000.0, 1, 0, 0, 1.0, 2.0))
     customer.window, customer.total_at, customer.level = 0, drive.now, PLAN.burst
@@ -1018,8 +1031,8 @@
     assert fresh < spent < quota.news_weight(customer, drive.now + 5000.0, 1.0) <= 1.0
 
 
-def test_units_to_give_back_weigh_a_call_with_nothing_and_break_nothing() -> None:
-    """Two to give back, one asked and an empty store: the weights' sum was 0, and the request failed."""
+def test_a_call_has_no_weight_if_it_gives_back_more_units_than_it_asks_for() -> None:
+    """2 units to give back, 1 asked for, an empty bucket: the sum of weights was 0 and the request failed."""
     drive = Drive(settings(plans=(replace(PLAN, burst=4),)))
     customer = drive.gate.meter.customer(drive.now, it.Arrived(1, drive.now + 5000.0, 1, 0, 0, 1.0, 2.0))
     customer.level, customer.unreported = 0.0, -2.0
@@ -1028,7 +1041,7 @@
     assert of(got, it.Count) or got == [it.Refuse(number)]
 
 
-def test_what_a_counter_turned_away_is_told_again_and_an_outage_leaves_a_full_store_at_most() -> None:
+def test_units_of_a_rejected_call_are_reported_again_up_to_one_burst() -> None:
     drive = Drive(settings())
     (call,) = of(drive.arrive()[1], it.Count)
     drive.count(call, 0.0, it.Outcome.FULL)
@@ -1040,8 +1053,8 @@
     assert call.amount <= 1.0 + PLAN.burst
 
 
-def test_tries_beyond_quotas_do_not_take_the_tiers_capacity() -> None:
-    """Plan bursts: four of five tries are beyond their quota; the tier is not cut as if all were sent."""
+def test_requests_beyond_quotas_take_no_capacity_of_their_tier() -> None:
+    """Four of five requests are beyond their quota: the tier must not be cut as if all were sent."""
     board = tiers(9, 1)
     board.capacity = 10.0
     for _ in range(20):
@@ -1050,7 +1063,7 @@
     assert (board.cut, board.share) == (2, 1.0)
 
 
-def test_a_request_whose_client_left_while_it_waited_for_a_slot_is_not_sent_and_frees_none_twice() -> None:
+def test_a_request_whose_client_left_while_it_waited_for_a_slot_is_not_sent_and_frees_no_slot() -> None:
     capped = replace(PLAN, rate=0.0, burst=0.0, parallel=2)
     drive = Drive(settings(counter=False, plans=(capped,), limits=LIMITS))
     sends = of(drive.arrive(spread=2.0)[1], it.Send)
@@ -1064,8 +1077,8 @@
     assert len(of(drive.arrive(spread=2.0)[1], it.Send)) == 1 and customer.open_attempts == 1
 
 
-def test_a_keyed_repeat_that_is_held_for_want_of_a_host_is_given_up_with_its_window() -> None:
-    """The key is dropped by then: a host of its zone that comes back later would run it a second time."""
+def test_a_keyed_repeat_that_is_held_without_a_host_fails_when_its_window_ends() -> None:
+    """Hosts forget the key by then: one that comes back in its zone would run the request a second time."""
     keyed = replace(KEYED, window_ms=300.0)
     drive = Drive(settings(counter=False, classes=(SAFE, keyed, UNSAFE)), fleet=2)
     number, actions = drive.arrive(kind=1)
@@ -1079,23 +1092,23 @@
     assert not of(back + drive.run_for(500.0), it.Send)
 
 
-def test_a_refusal_by_a_total_says_when_the_store_holds_the_units_again() -> None:
+def test_a_refusal_by_a_total_tells_when_the_units_will_be_available() -> None:
     drive = Drive(settings())
     _, got = drive.arrive()
     (call,) = of(got, it.Count)
-    late = it.CountAnswered(call.name, it.Outcome.OK, 60.0, 2.0)  # far more than was filled so far
+    late = it.CountAnswered(call.name, it.Outcome.OK, 60.0, 2.0)  # far more than has been refilled so far
     (refusal,) = of(drive.feed(late), it.Refuse)
     customer = drive.gate.customers[1]
     assert refusal.backoff == (1.0 - customer.level) * 1000 / PLAN.rate > 0
 
 
-def test_a_refusal_without_a_total_names_no_time() -> None:
+def test_a_refusal_without_a_total_names_no_backoff() -> None:
     drive = Drive(settings(counter=False))
     refusals = [r for _ in range(12) for r in of(drive.arrive()[1], it.Refuse)]
     assert refusals and not any(r.backoff for r in refusals)
 
 
-def test_a_customer_that_came_once_is_forgotten_when_its_store_is_full_again() -> None:
+def test_a_customer_that_came_once_is_forgotten_when_its_bucket_is_full_again() -> None:
     drive = Drive(settings(), now=begins(8) + 4000.0)
     _, got = drive.arrive()
     (call,) = of(got, it.Count)
