--- a/tests/test_module.py
+++ b/tests/test_module.py
@@ -26,7 +26,7 @@
     return Tiers(settings(classes=tuple(replace(SAFE, worth=w) for w in worths)))
 
 
-def overload(board: Tiers, arrivals: list[int], served: int, out: int, now: float = 0.0) -> None:
+def run_period(board: Tiers, arrivals: list[int], served: int, out: int, now: float = 0.0) -> None:
     """Run one period: all `arrivals`, by tier, are admitted, `served` are answered and `out` stay open."""
     for tier, count in enumerate(arrivals):
         for _ in range(count):
@@ -44,9 +44,9 @@
 def test_tiers_fill_from_the_top_and_the_boundary_tier_is_admitted_in_part() -> None:
     board = tiers(9, 3, 1)
     for _ in range(4):
-        overload(board, [10, 20, 30], 40, 40)
+        run_period(board, [10, 20, 30], 40, 40)
     board.roll(0.0, 0)
-    overload(board, [10, 20, 30], 40, 300)
+    run_period(board, [10, 20, 30], 40, 300)
     assert board.capacity > 0
     board.capacity = 40.0
     board.arrived = [10, 40, 30]
@@ -130,7 +130,7 @@
     """Incident 1: a second without answers set the capacity near 0, and recovery took the rest of the day."""
     board = tiers(1)
     for _ in range(5):
-        overload(board, [100], 80, 10)
+        run_period(board, [100], 80, 10)
     for n in range(100):
         board.admit(0)
         board.note(n % 4, 3000.0, False, True, 0.2)
@@ -142,22 +142,22 @@
     """Guards against refusals at a gateway with little traffic; it may detect a real overload later."""
     board = tiers(1)
     for _ in range(5):
-        overload(board, [10], 10, 3)
-    overload(board, [10], 10, 17)
+        run_period(board, [10], 10, 3)
+    run_period(board, [10], 10, 17)
     assert board.capacity == 0.0
 
 
 def test_all_tiers_are_admitted_again_after_an_overload() -> None:
     board = tiers(9, 1)
     for _ in range(3):
-        overload(board, [20, 40], 20, 200)
+        run_period(board, [20, 40], 20, 200)
     assert board.cut < 2
     for _ in range(12):
-        overload(board, [2, 3], 5, 2)
+        run_period(board, [2, 3], 5, 2)
     assert board.cut == 2
 
 
-WIDE = 40.0  # a spread at which an even share of the burst is far below one request
+WIDE_SPREAD = 40.0  # a spread at which an even share of the burst is far below one request
 
 
 def known_customer(level: float = 8.0, now: float = 1000.0, spread: float = 2.0) -> Customer:
@@ -167,7 +167,7 @@
     return customer
 
 
-def begins(window: int) -> float:
+def window_start(window: int) -> float:
     """Return when a window of customer 1 begins, ms."""
     customer = new_customer(1, PLAN, 1.0, 0.0, 0.0)
     return window * customer.window_ms - customer.window_phase
@@ -205,18 +205,18 @@
     assert customer.level <= 1.01 and customer.window == 1
 
 
-@pytest.mark.parametrize("remembers", [False, True])
-def test_the_first_gateway_in_a_window_carries_over_the_debt_of_the_last_one(remembers: bool) -> None:
+@pytest.mark.parametrize("knows_debt", [False, True])
+def test_the_first_gateway_in_a_window_carries_over_the_debt_of_the_last_one(knows_debt: bool) -> None:
     """Guards against all other gateways taking the bucket for full: the first one reads the debt and adds it.
 
     It does so even if it knows the debt itself.
     """
-    drive = Drive(settings(), now=begins(8) - 100.0)
-    if remembers:
-        call = of(drive.arrive(0, spread=WIDE)[1], it.Count)[0]
+    drive = Drive(settings(), now=window_start(8) - 100.0)
+    if knows_debt:
+        call = of(drive.arrive(0, spread=WIDE_SPREAD)[1], it.Count)[0]
         drive.count(call, 25.0)
-    drive.now = begins(8) + 100.0
-    call = of(drive.arrive(0, spread=WIDE)[1], it.Count)[0]
+    drive.now = window_start(8) + 100.0
+    call = of(drive.arrive(0, spread=WIDE_SPREAD)[1], it.Count)[0]
     read = of(got := drive.count(call, 1.0), it.Count)
     assert [(c.name, c.amount) for c in read] == [(call.name - 1, 0.0)]
     assert not of(got, it.Send) and not of(got, it.Refuse), "the request waits for the debt"
@@ -224,8 +224,8 @@
     debt = of(got, it.Count)
     assert [(c.name, round(c.amount, 3)) for c in debt] == [(call.name, 5.0)] and of(got, it.Send)
     assert not of(drive.count(debt[0], 6.0), it.Refuse)
-    other = Drive(settings(), now=begins(8) + 100.0)
-    call = of(other.arrive(0, spread=WIDE)[1], it.Count)[0]
+    other = Drive(settings(), now=window_start(8) + 100.0)
+    call = of(other.arrive(0, spread=WIDE_SPREAD)[1], it.Count)[0]
     assert not of(other.count(call, 7.0), it.Count), "it is not the first gateway in this window"
 
 
@@ -235,31 +235,33 @@
     Two gateways then took themselves for the first, and the customer was refused for a whole window with at
     least half of its bucket unused.
     """
-    drives = [Drive(settings(gateway=n), now=begins(8) + 100.0) for n in range(2)]
-    calls = [(drive, call) for drive in drives for call in of(drive.arrive(0, spread=WIDE)[1], it.Count)]
+    drives = [Drive(settings(gateway=n), now=window_start(8) + 100.0) for n in range(2)]
+    calls = [
+        (drive, call) for drive in drives for call in of(drive.arrive(0, spread=WIDE_SPREAD)[1], it.Count)
+    ]
     totals = {calls[0][1].name: -1.0, calls[0][1].name - 1: PLAN.rate * 12.0 + 6.0}
-    told = []
+    amounts = []
     while calls:
         answers = []
         for drive, call in calls:  # all calls of a round are added before any is answered
             totals[call.name] += call.amount
             answers.append((drive, call, totals[call.name]))
-            told += [call.amount] * bool(call.amount)
+            amounts += [call.amount] * bool(call.amount)
         calls = [
             (drive, more) for drive, call, then in answers for more in of(drive.count(call, then), it.Count)
         ]
-    assert told == [1.0, 1.0, 6.0, 6.0, -6.0]
+    assert amounts == [1.0, 1.0, 6.0, 6.0, -6.0]
 
 
 def test_a_window_begins_without_debt_if_the_last_count_cannot_be_read() -> None:
-    drive = Drive(settings(), now=begins(8) + 100.0)
-    call = of(drive.arrive(0, spread=WIDE)[1], it.Count)[0]
+    drive = Drive(settings(), now=window_start(8) + 100.0)
+    call = of(drive.arrive(0, spread=WIDE_SPREAD)[1], it.Count)[0]
     read = of(drive.count(call, 1.0), it.Count)[0]
     assert of(drive.count(read, 0.0, it.Outcome.TIMEOUT), it.Send) and drive.gate.customers[1].call is None
 
 
 @pytest.mark.parametrize(
-    ("gateways", "times", "loses"),
+    ("gateways", "demand", "loses_counts"),
     [
         (3, 0.5, False),
         (40, 0.5, False),
@@ -272,7 +274,7 @@
     ],
 )
 def test_over_many_windows_gateways_together_admit_the_quota_with_few_calls(
-    gateways: int, times: float, loses: bool
+    gateways: int, demand: float, loses_counts: bool
 ) -> None:
     """Day calm+mass: in each new window most gateways took the bucket for full, as no debt was carried over.
 
@@ -281,14 +283,14 @@
     rng = random.Random(gateways)
     drives = [Drive(settings(gateways=gateways, gateway=n)) for n in range(gateways)]
     totals: dict[int, float] = {}
-    level, asked, sent, beyond, refused, calls = PLAN.burst, 0, 0, 0, 0, 0
+    level, asked, sent, over_quota, refused, calls = PLAN.burst, 0, 0, 0, 0, 0
     waiting: list[tuple[float, Drive, it.Count]] = []  # an answer takes 10 ms
-    now = begins(8)
-    end = now + 6 * new_customer(1, PLAN, WIDE, 0.0, 0.0).window_ms
+    now = window_start(8)
+    end = now + 6 * new_customer(1, PLAN, WIDE_SPREAD, 0.0, 0.0).window_ms
     arrival = at = now
 
-    def act(drive: Drive, actions: list[it.Action]) -> None:
-        nonlocal level, at, sent, beyond, refused, calls
+    def perform(drive: Drive, actions: list[it.Action]) -> None:
+        nonlocal level, at, sent, over_quota, refused, calls
         for action in actions:
             if isinstance(action, it.Count):
                 totals[action.name] = totals.get(action.name, 0.0) + action.amount
@@ -296,34 +298,37 @@
                 calls += 1
             elif isinstance(action, it.Send):
                 level, at = min(PLAN.burst, level + PLAN.rate * (now - at) / 1000), now
-                sent, beyond = sent + 1, beyond + (level < 1.0)
+                sent, over_quota = sent + 1, over_quota + (level < 1.0)
                 level -= level >= 1.0
                 drive.end(action, it.Outcome.OK)
             elif isinstance(action, it.Refuse):
                 room = min(PLAN.burst, level + PLAN.rate * (now - at) / 1000)
                 refused += room >= PLAN.burst / 2
 
-    beat, lost_at = now, now + 2.6 * new_customer(1, PLAN, WIDE, 0.0, 0.0).window_ms if loses else math.inf
+    next_tick, lost_at = (
+        now,
+        now + 2.6 * new_customer(1, PLAN, WIDE_SPREAD, 0.0, 0.0).window_ms if loses_counts else math.inf,
+    )
     while now < end:
         if now >= lost_at:
             totals.clear()
             lost_at = math.inf
-        if min(arrival, waiting[0][0] if waiting else end) >= beat:
-            now, beat = beat, beat + 100.0
+        if min(arrival, waiting[0][0] if waiting else end) >= next_tick:
+            now, next_tick = next_tick, next_tick + 100.0
             for drive in drives:
                 drive.now = now
-                act(drive, drive.feed(it.TimerFired(0)))
+                perform(drive, drive.feed(it.TimerFired(0)))
             continue
         if waiting and waiting[0][0] <= arrival:
             now, drive, call = waiting.pop(0)
             drive.now = now
-            act(drive, drive.feed(it.CountAnswered(call.name, it.Outcome.OK, call.ttl, 10.0)))
+            perform(drive, drive.feed(it.CountAnswered(call.name, it.Outcome.OK, call.ttl, 10.0)))
             continue
         now, drive = arrival, drives[min(int(rng.expovariate(3 / gateways)), gateways - 1)]
         drive.now, asked = now, asked + 1
-        act(drive, drive.arrive(0, spread=gateways)[1])
-        arrival += rng.expovariate(PLAN.rate * times / 1000)
-    assert beyond <= 0.02 * sent + 3 * loses and refused <= 0.02 * asked and calls <= 1.8 * asked
+        perform(drive, drive.arrive(0, spread=gateways)[1])
+        arrival += rng.expovariate(PLAN.rate * demand / 1000)
+    assert over_quota <= 0.02 * sent + 3 * loses_counts and refused <= 0.02 * asked and calls <= 1.8 * asked
 
 
 @pytest.mark.parametrize("gateways", [3, 40, 200])
@@ -332,15 +337,17 @@
 
     Requests that then seem to fit must claim their units, as other gateways may have read the same total.
     """
-    drives = [Drive(settings(gateways=gateways, gateway=n), now=begins(8) + 3000.0) for n in range(gateways)]
+    drives = [
+        Drive(settings(gateways=gateways, gateway=n), now=window_start(8) + 3000.0) for n in range(gateways)
+    ]
     total, reads = PLAN.burst + PLAN.rate * 3.0, []
     for drive in drives:
-        call = of(drive.arrive(0, spread=WIDE)[1], it.Count)[0]
+        call = of(drive.arrive(0, spread=WIDE_SPREAD)[1], it.Count)[0]
         drive.count(call, total + 1.0)  # refused; its unit is given back
         drive.count(of(drive.done, it.Count)[-1], total)
         drive.gate.customers[1].pass_share = 0.1
         drive.now += 3000.0
-        (call,) = of(drive.arrive(0, spread=WIDE)[1], it.Count)
+        (call,) = of(drive.arrive(0, spread=WIDE_SPREAD)[1], it.Count)
         assert call.amount == 0.0
         reads.append((drive, call))
     room = PLAN.burst + PLAN.rate * 6.0 - total
@@ -356,14 +363,14 @@
 @pytest.mark.parametrize("gateways", [3, 40, 200])
 def test_lost_counts_are_restored_by_their_last_readers_without_further_requests(gateways: int) -> None:
     """Day calm+mass of fjord-billett: the counter lost its counts; all customers got their burst again."""
-    start, totals = begins(8) + 3000.0, dict[int, float]()
+    start, totals = window_start(8) + 3000.0, dict[int, float]()
     drives = [Drive(settings(gateways=gateways, gateway=n), now=start) for n in range(gateways)]
     ages = {
         key: customer.window_age(start, customer.window_at(start))
         for key in range(1, 100)
-        for customer in [new_customer(key, PLAN, WIDE, 0.0, 0.0)]
+        for customer in [new_customer(key, PLAN, WIDE_SPREAD, 0.0, 0.0)]
     }
-    short = [key for key, age in ages.items() if 2000.0 < age < 6000.0][:8]  # their windows last longer
+    chosen = [key for key, age in ages.items() if 2000.0 < age < 6000.0][:8]  # their windows last longer
 
     def settle(drive: Drive, actions: list[it.Action]) -> None:
         for call in of(actions, it.Count):
@@ -377,48 +384,48 @@
     for turn in range(160):  # each customer uses several gateways until its bucket is empty
         drive = drives[turn // 8 * 5 % min(gateways, 24)]
         drive.now = start + turn
-        settle(drive, drive.arrive(0, customer=short[turn % 8], spread=WIDE)[1])
+        settle(drive, drive.arrive(0, customer=chosen[turn % 8], spread=WIDE_SPREAD)[1])
     wait(600.0)
     before = {name: total for name, total in totals.items() if total > 1.0}
     assert len(before) == 8
     totals.clear()
     for turn in range(min(gateways, 24)):  # the first customer uses each again, which reveals the loss
         drive = drives[19 * 5 % min(gateways, 24) - turn]
-        settle(drive, drive.arrive(0, customer=short[0], spread=WIDE)[1])
+        settle(drive, drive.arrive(0, customer=chosen[0], spread=WIDE_SPREAD)[1])
     wait(2500.0)
     for name, total in before.items():
         assert 0.8 * total <= totals.get(name, 0.0) <= 1.3 * total + 5.0
 
 
-@pytest.mark.parametrize("fallen", [False, True])
-def test_after_lost_counts_an_unknown_customer_is_given_half_a_bucket(fallen: bool) -> None:
+@pytest.mark.parametrize("count_fell", [False, True])
+def test_after_lost_counts_an_unknown_customer_is_given_half_a_bucket(count_fell: bool) -> None:
     """The bucket may have been full or empty; the count is set so that all gateways see the same.
 
     Empty counts alone prove no loss.
     """
-    start = begins(8) + 6000.0
+    start = window_start(8) + 6000.0
     ages = {
         key: customer.window_age(start, customer.window_at(start))
         for key in range(2, 100)
-        for customer in [new_customer(key, PLAN, WIDE, 0.0, 0.0)]
+        for customer in [new_customer(key, PLAN, WIDE_SPREAD, 0.0, 0.0)]
     }
     others = [key for key, age in ages.items() if 4000.0 < age < 8000.0]
     drive = Drive(settings(), now=start)
-    call = of(drive.arrive(0, spread=WIDE)[1], it.Count)[0]
+    call = of(drive.arrive(0, spread=WIDE_SPREAD)[1], it.Count)[0]
     drive.count(call, 20.0)  # of 8 units and 12 refilled: the bucket is empty
     while calls := [call for call in of(drive.done, it.Count) if call.amount < 0.0]:
         drive.done.clear()
         drive.count(calls[0], 19.0)
     drive.now += 1200.0
-    call = of(drive.arrive(0, spread=WIDE)[1], it.Count)[0]
-    drive.count(call, call.amount if fallen else 19.0 + call.amount)
+    call = of(drive.arrive(0, spread=WIDE_SPREAD)[1], it.Count)[0]
+    drive.count(call, call.amount if count_fell else 19.0 + call.amount)
     drive.now += 10.0
-    call = of(drive.arrive(0, customer=others[0], spread=WIDE)[1], it.Count)[0]
+    call = of(drive.arrive(0, customer=others[0], spread=WIDE_SPREAD)[1], it.Count)[0]
     got = drive.count(call, 1.0)
     while not of(got, it.Send):  # the last window's total is read first unless it is lost as well
         got = drive.count(of(got, it.Count)[0], 0.0)
     level = drive.gate.customers[others[0]].level
-    assert PLAN.burst / 2 - 1.5 <= level <= PLAN.burst / 2 if fallen else level == PLAN.burst - 1.0
+    assert PLAN.burst / 2 - 1.5 <= level <= PLAN.burst / 2 if count_fell else level == PLAN.burst - 1.0
 
 
 def test_units_admitted_without_a_call_are_reported_soon_even_without_another_request() -> None:
@@ -443,7 +450,7 @@
 @pytest.mark.parametrize("gateways", [3, 48])
 def test_a_burst_through_many_gateways_in_mid_window_stays_within_the_bucket(gateways: int) -> None:
     """Days with large fleets: a gateway new to a customer took units just used by others for refilled."""
-    now = begins(10) + 10_000.0
+    now = window_start(10) + 10_000.0
     drives = [Drive(settings(gateways=gateways, gateway=n), now=now) for n in range(gateways)]
     totals: dict[int, float] = {}
 
@@ -458,26 +465,26 @@
     for n in range(48):
         drive = drives[n % gateways]
         drive.now += 1.0
-        sent += settle(drive, drive.arrive(0, spread=WIDE)[1])
+        sent += settle(drive, drive.arrive(0, spread=WIDE_SPREAD)[1])
     assert PLAN.burst - 1 <= sent <= PLAN.burst + 1
 
 
 def test_two_gateways_that_report_the_same_overflow_notice_and_one_takes_it_back() -> None:
-    drives = [Drive(settings(gateway=n), now=begins(10) + 10_000.0) for n in range(2)]
+    drives = [Drive(settings(gateway=n), now=window_start(10) + 10_000.0) for n in range(2)]
     totals: dict[int, float] = {}
     calls = [(drive, call) for drive in drives for call in of(drive.arrive(0)[1], it.Count)]
-    told = []
+    amounts = []
     while calls:
         answers = []
         for drive, call in calls:  # all calls of a round are added before any is answered
             totals[call.name] = totals.get(call.name, 0.0) + call.amount
             answers.append((drive, call, totals[call.name]))
-            told += [round(call.amount, 1)] * bool(call.amount)
+            amounts += [round(call.amount, 1)] * bool(call.amount)
         calls = [
             (drive, more) for drive, call, then in answers for more in of(drive.count(call, then), it.Count)
         ]
     full = PLAN.rate * 10.0
-    assert told == [1.0, 1.0, full - 1.0, full, -full]
+    assert amounts == [1.0, 1.0, full - 1.0, full, -full]
     assert abs(max(totals.values()) - full - 2.0) < 1.1
 
 
@@ -506,8 +513,8 @@
     call = of(drive.arrive(0)[1], it.Count)[0]
     customer = drive.gate.customers[1]
     total = PLAN.burst + PLAN.rate * customer.window_age(drive.now, customer.window_at(drive.now)) / 1000
-    back = of(drive.count(call, total + call.amount), it.Count)[0]
-    assert back.amount == -call.amount and not drive.count(back, total)
+    give_back = of(drive.count(call, total + call.amount), it.Count)[0]
+    assert give_back.amount == -call.amount and not drive.count(give_back, total)
     drive.now += 20.0
     number, got = drive.arrive(0)
     refusal = of(got, it.Refuse)[0]
@@ -541,10 +548,10 @@
 def test_gateways_that_see_a_customer_only_once_keep_its_quota_together() -> None:
     """With a wide spread each gateway gets one request and one total; together they stay near the quota."""
     sent, total = 0, 0.0
-    span = new_customer(1, PLAN, WIDE, 0.0, 0.0).window_ms
+    span = new_customer(1, PLAN, WIDE_SPREAD, 0.0, 0.0).window_ms
     for n in range(400):
-        drive = Drive(settings(), now=begins(10) + span * (n + 0.5) / 400)
-        got = drive.arrive(0, spread=WIDE)[1]
+        drive = Drive(settings(), now=window_start(10) + span * (n + 0.5) / 400)
+        got = drive.arrive(0, spread=WIDE_SPREAD)[1]
         while calls := of(got, it.Count):
             total += calls[0].amount
             got = drive.count(calls[0], total if calls[0].ttl > 1.0 else 0.0)  # the last window was not used
@@ -557,11 +564,11 @@
     """A low level at one of many gateways proves nothing: the total decides on the first request there."""
     drive = Drive(settings())
     drive.gate.calls.load.value = 0.0
-    call = of(drive.arrive(0, spread=WIDE)[1], it.Count)[0]
+    call = of(drive.arrive(0, spread=WIDE_SPREAD)[1], it.Count)[0]
     assert of(drive.count(call, 5.0), it.Send)
 
 
-def _admitted(outcome: it.Outcome, seconds: int = 60) -> int:
+def _count_sent(outcome: it.Outcome, seconds: int = 60) -> int:
     """Count what one of two gateways sends under steady excess load while every counter call fails."""
     drive = Drive(settings())
     sent = 0
@@ -578,7 +585,7 @@
 def test_without_the_counter_a_gateway_admits_its_own_share() -> None:
     """Guards against admitting everything or nothing while the counter is silent or refuses calls."""
     for outcome in (it.Outcome.TIMEOUT, it.Outcome.FULL, it.Outcome.UNREACHABLE):
-        assert 0.3 * 60 * PLAN.rate < _admitted(outcome) < 0.8 * 60 * PLAN.rate + 2 * PLAN.burst
+        assert 0.3 * 60 * PLAN.rate < _count_sent(outcome) < 0.8 * 60 * PLAN.rate + 2 * PLAN.burst
 
 
 def test_counter_calls_pause_while_the_counter_fails() -> None:
@@ -912,8 +919,8 @@
 def test_a_suspect_host_is_tried_again() -> None:
     """Incidents i2cf20c and i915d05: suspect hosts got no requests; most healthy ones were unused all day."""
     drive = Drive(settings(plans=()), fleet=3)
-    sick = drive.gate.hosts[2]
-    sick.failures, sick.failing_since, sick.latency = 5, drive.now, 10.0
+    failing = drive.gate.hosts[2]
+    failing.failures, failing.failing_since, failing.latency = 5, drive.now, 10.0
     tried = 0
     for _ in range(40):
         for send in of(drive.arrive(0)[1], it.Send):
@@ -961,17 +968,17 @@
 
 def test_times_measured_across_a_stall_of_the_gateway_are_no_evidence() -> None:
     """A stalled gateway finds a backlog of events: the delay is its own, not that of hosts or the counter."""
-    drive = Drive(settings(), now=begins(8) + 4000.0)
+    drive = Drive(settings(), now=window_start(8) + 4000.0)
     _, got = drive.arrive(0)
     drive.count(of(got, it.Count)[0], 9.0)
     send = of(drive.done, it.Send)[0]
-    crowd = drive.gate.calls.load.value
+    counter_load = drive.gate.calls.load.value
     _, got = drive.arrive(0)
     call = of(got, it.Count)[0]
     drive.now += 2000.0
     drive.end(send, it.Outcome.OK, elapsed=2000.0)
     drive.feed(it.CountAnswered(call.name, it.Outcome.TIMEOUT, 0.0, 2000.0))
-    assert not drive.gate.tiers.answers.by_host and drive.gate.calls.load.value == crowd
+    assert not drive.gate.tiers.answers.by_host and drive.gate.calls.load.value == counter_load
     number, got = drive.arrive(0, patience=30.0)
     assert got == [it.Refuse(number)]
 
@@ -979,14 +986,14 @@
 def test_a_gateway_wakes_only_when_something_is_due() -> None:
     """Guards against CPU use by hundreds of gateways: an idle one wakes only for its period."""
     drive = Drive(settings())
-    woken = 0
+    wakeups = 0
     due = [drive.now + timer.delay for timer in of(drive.done, it.SetTimer)]
     while due and min(due) < 110_000.0:
         drive.now = min(due)
         due.remove(drive.now)
         due += [drive.now + timer.delay for timer in of(drive.feed(it.TimerFired(0)), it.SetTimer)]
-        woken += 1
-    assert 15 <= woken <= 25
+        wakeups += 1
+    assert 15 <= wakeups <= 25
 
 
 def test_worths_further_apart_than_a_band_have_different_tiers() -> None:
@@ -999,25 +1006,25 @@
     drive = Drive(settings())
     first = of(drive.arrive()[1], it.Count)
     drive.gate.calls.load.value, drive.gate.calls.load.at = 4.0, drive.now
-    held = sum(1 for _ in range(100) if not drive.arrive()[1])
-    assert first and held < 20, "the local level decides on most of them at once"
+    waiting = sum(1 for _ in range(100) if not drive.arrive()[1])
+    assert first and waiting < 20, "the local level decides on most of them at once"
 
 
 def test_reduced_calls_report_exactly_the_units_admitted() -> None:
     """With a slow counter, calls that stood for skipped ones counted up to half a burst for one request."""
-    drive = Drive(settings(), now=begins(8))  # the bucket has not overflowed
+    drive = Drive(settings(), now=window_start(8))  # the bucket has not overflowed
     drive.gate.calls.load.value, drive.gate.calls.load.at = 0.6, drive.now  # one call in four
-    sent, told = 0, 0.0
+    sent, reported = 0, 0.0
     for _ in range(60):
         actions = drive.arrive()[1]
         while actions:
             sent += len(of(actions, it.Send))
             calls = of(actions, it.Count)
-            told += sum(call.amount for call in calls)
-            actions = [a for call in calls for a in drive.count(call, told)]
+            reported += sum(call.amount for call in calls)
+            actions = [a for call in calls for a in drive.count(call, reported)]
         drive.now += 100.0
     customer = drive.gate.customers[1]
-    assert told + customer.unreported == sent and 0 < told < sent + 1
+    assert reported + customer.unreported == sent and 0 < reported < sent + 1
 
 
 def test_calls_are_made_where_they_tell_most() -> None:
@@ -1109,7 +1116,7 @@
 
 
 def test_a_customer_that_came_once_is_forgotten_when_its_bucket_is_full_again() -> None:
-    drive = Drive(settings(), now=begins(8) + 4000.0)
+    drive = Drive(settings(), now=window_start(8) + 4000.0)
     _, got = drive.arrive()
     (call,) = of(got, it.Count)
     (send,) = of(drive.count(call, 9.0), it.Send)
