--- a/rainturn/interface.py
+++ b/rainturn/interface.py
@@ -121,8 +121,8 @@
 class Rules(_Validated):
     """Parameters of the rules on answers, draining hosts and cold hosts.
 
-    In any span of `fall_ms` a cold host may get at most `fall_multiple` times the load that its share of the
-    capacity allows. The decisions don't use `answer_grace_ms` and `ask_within_ms`.
+    In any span of `fall_ms` a cold host may get at most `fall_multiple` times the requests that match its
+    present capacity. The decisions don't use `answer_grace_ms` and `ask_within_ms`.
     """
 
     answer_grace_ms: float
--- a/tests/test_module.py
+++ b/tests/test_module.py
@@ -100,7 +100,7 @@
 
 
 def test_one_failing_host_is_no_overload() -> None:
-    """Guards against refusing all customers because of one host: its answers must not count as overload."""
+    """Guards against refusing all customers because of one host; fails if its answers mark an overload."""
     board = tiers(1)
     for n in range(40):
         board.note(n % 4, 0.0, True, False, 0.2)
@@ -185,7 +185,10 @@
 
 
 def test_an_overrun_at_another_gateway_takes_no_stored_units_and_its_return_adds_none() -> None:
-    """Case 5757: units sent beyond the quota at other gateways counted as used: seconds of refusals."""
+    """Case 5757: units that other gateways sent beyond the quota counted as used here.
+
+    Requests were refused for seconds because of that.
+    """
     customer = known_customer(1.0)
     customer.total = 9.0
     quota.learn(customer, 1000.0, CounterCall(0, 0.0, 0.0), 13.0)
@@ -449,7 +452,7 @@
 
 @pytest.mark.parametrize("gateways", [3, 48])
 def test_a_burst_through_many_gateways_in_mid_window_stays_within_the_bucket(gateways: int) -> None:
-    """Days with large fleets: a gateway new to a customer took units just used by others for refilled."""
+    """Days with large fleets: a gateway new to the customer took units that were just used for refilled."""
     now = window_start(10) + 10_000.0
     drives = [Drive(settings(gateways=gateways, gateway=n), now=now) for n in range(gateways)]
     totals: dict[int, float] = {}
@@ -669,7 +672,7 @@
 
 
 def test_a_rarely_used_host_gets_more_time_to_answer() -> None:
-    """Guards against moving requests that would be answered. The cost: one waits longer at a silent host."""
+    """Guards against moving requests that would be answered; one may stay longer at a silent host."""
     drive = Drive(settings(plans=()))
     drive.arrive(0)
     assert not of(drive.run_for(700.0), it.Send)
@@ -750,7 +753,7 @@
 
 @pytest.mark.parametrize("gateways", [3, 48])
 def test_a_cap_on_open_attempts_holds_for_any_number_of_gateways(gateways: int) -> None:
-    """Days with large fleets: the count has no digit for each gateway, and 40 sent an attempt each."""
+    """Days with large fleets: a total has no room for a digit per gateway, and 40 sent an attempt each."""
     plan = replace(PLAN, rate=0, parallel=2)
     drives = [Drive(settings(plans=(plan,), gateways=gateways, gateway=n)) for n in range(gateways)]
     totals: dict[int, float] = {}
@@ -878,7 +881,7 @@
 
 @pytest.mark.parametrize(("gateways", "each"), [(3, 20), (3, 40), (14, 4), (48, 1), (48, 3)])
 def test_independent_gateways_load_hosts_evenly(gateways: int, each: int) -> None:
-    """Days with large fleets: by chance some hosts held nine requests of forty gateways, others none."""
+    """Days with large fleets: by chance some hosts held nine requests of forty gateways, others were idle."""
     load = dict.fromkeys(range(1, 61), 0)
     for n in range(gateways):
         drive = Drive(settings(plans=(replace(PLAN, rate=0),), gateways=gateways, gateway=n), fleet=60)
@@ -901,7 +904,7 @@
 
 
 def test_a_host_that_answers_with_errors_is_avoided_for_a_while() -> None:
-    """Days with large fleets: a host near a gateway failed quickly and so got a request in four."""
+    """Days with large fleets: a host with quick errors got one in four requests of a gateway near it."""
     drive = Drive(settings(plans=(replace(PLAN, rate=0),), gateways=40, gateway=5), fleet=20)
     bad = of(drive.arrive()[1], it.Send)[0]
     drive.end(bad, it.Outcome.ERROR, elapsed=2.0)
@@ -1039,7 +1042,10 @@
 
 
 def test_a_call_has_no_weight_if_it_gives_back_more_units_than_it_asks_for() -> None:
-    """2 units to give back, 1 asked for, an empty bucket: the sum of weights was 0 and the request failed."""
+    """Guards against a failed request: the weights added up to 0.
+
+    This came about with 2 units to give back, 1 asked for and an empty bucket.
+    """
     drive = Drive(settings(plans=(replace(PLAN, burst=4),)))
     customer = drive.gate.meter.customer(drive.now, it.Arrived(1, drive.now + 5000.0, 1, 0, 0, 1.0, 2.0))
     customer.level, customer.unreported = 0.0, -2.0
@@ -1061,7 +1067,7 @@
 
 
 def test_requests_beyond_quotas_take_no_capacity_of_their_tier() -> None:
-    """Four of five requests are beyond their quota: the tier must not be cut as if all were sent."""
+    """In bursts four of five requests are beyond their quota; the tier is not cut as if all were sent."""
     board = tiers(9, 1)
     board.capacity = 10.0
     for _ in range(20):
