--- a/rainturn/decisions/gateway.py
+++ b/rainturn/decisions/gateway.py
@@ -37,7 +37,7 @@
         self.ready_after = -math.inf  # set after a handover: until then it waits for a fresh host list
         self._handlers: dict[type[it.Event], Callable[[float, Any], Any]] = {
             it.Arrived: self._on_arrived,
-            it.BodyWhole: self.attempts.on_body_complete,
+            it.BodyComplete: self.attempts.on_body_complete,
             it.StreamBegan: self.attempts.on_answer_began,
             it.AttemptEnded: self._on_attempt_ended,
             it.RequestGone: self.attempts.on_client_left,
--- a/rainturn/records.py
+++ b/rainturn/records.py
@@ -55,7 +55,7 @@
 
     def __init__(self, entry: it.HostEntry, now: float, ages: HostAges) -> None:
         self.id = entry.host
-        self.order = entry.order or entry.host * HASH_FACTOR % (1 << 32)
+        self.order = entry.sort_key or entry.host * HASH_FACTOR % (1 << 32)
         self.open_attempts = 0  # those that are load: complete requests whose answer has not begun
         self.latency_ratio = 1.0  # smoothed answer time relative to the usual one, as of `latency_at`
         self.latency_at = now
@@ -158,8 +158,8 @@
         self.is_bound = False  # to its current attempt: no other may follow
         self.is_moving = False  # its attempt was given up, and another one replaces it
         self.is_refundable = False  # its units were taken, but no attempt has completely reached a host
-        self.is_complete = event.whole  # its last byte has arrived
-        self.is_streamed = not event.whole  # forwarded as it arrives: cannot be moved to another host
+        self.is_complete = event.is_complete  # its last byte has arrived
+        self.is_streamed = not event.is_complete  # forwarded as it arrives: cannot be moved to another host
         self.held_until = math.inf  # when to give it up if not sent; inf: not held, or a timer is set
         self.cold_draw = cold_draw  # drawn once, so that a held request gets no further chance of a cold host
 
