--- a/rainturn/averages.py
+++ b/rainturn/averages.py
@@ -6,12 +6,12 @@
 from typing import NamedTuple
 
 ANSWER_TIME_GAIN = 0.03  # weight of a new answer's time
-LARGEST_SAMPLE = 20.0  # a pass share is the mean of so many decisions at most
-LONGEST_WAIT = 2.0  # an answer's wait counts as this many target times at most: a costly request is no sign
+MAX_SAMPLE_SIZE = 20.0  # a pass share is the mean of at most this many decisions
+MAX_WAIT = 2.0  # an answer's wait counts as at most this many target times: a costly request proves nothing
 
 
 class AnswerTime:
-    """Mean and mean deviation of the answer times of a class of requests, ms."""
+    """Mean and mean deviation of the answer times of a class of requests, in ms."""
 
     __slots__ = ("mean", "deviation")
 
@@ -20,7 +20,7 @@
         self.deviation = deviation
 
     def add(self, elapsed: float) -> None:
-        """Learn from an answer."""
+        """Add an answer time in ms."""
         error = elapsed - self.mean
         self.mean += ANSWER_TIME_GAIN * error
         self.deviation += ANSWER_TIME_GAIN * (abs(error) - self.deviation)
@@ -29,42 +29,42 @@
 class PassShare:
     """The share of a plan's requests that pass their quotas."""
 
-    __slots__ = ("share", "sample")
+    __slots__ = ("share", "sample_size")
 
-    def __init__(self, share: float, sample: float) -> None:
+    def __init__(self, share: float, sample_size: float) -> None:
         self.share = share
-        self.sample = sample  # how many decisions the share is made of
+        self.sample_size = sample_size  # number of decisions that the share is averaged over
 
     def add(self, admitted: bool) -> None:
-        """Learn from a decision."""
-        self.share += (admitted - self.share) / self.sample
-        self.sample = min(LARGEST_SAMPLE, self.sample + 1)
+        """Add a decision."""
+        self.share += (admitted - self.share) / self.sample_size
+        self.sample_size = min(MAX_SAMPLE_SIZE, self.sample_size + 1)
 
 
-class FadingAverage:
-    """An average that falls towards 0 with time."""
+class DecayingAverage:
+    """An average that decays towards 0 with time."""
 
-    __slots__ = ("value", "at", "gain", "memory_ms")
+    __slots__ = ("value", "at", "gain", "time_constant_ms")
 
-    def __init__(self, gain: float, memory_ms: float) -> None:
+    def __init__(self, gain: float, time_constant_ms: float) -> None:
         self.value = 0.0
-        self.at = 0.0  # until when it has faded
+        self.at = 0.0  # time up to which the value has decayed
         self.gain = gain
-        self.memory_ms = memory_ms
+        self.time_constant_ms = time_constant_ms
 
     def add(self, sample: float) -> None:
-        """Learn from a sample."""
+        """Add a sample."""
         self.value += self.gain * (sample - self.value)
 
-    def fade(self, now: float) -> float:
-        """The value by now."""
-        self.value *= math.exp((self.at - now) / self.memory_ms)
+    def decay(self, now: float) -> float:
+        """Decay the value up to `now`, and return it."""
+        self.value *= math.exp((self.at - now) / self.time_constant_ms)
         self.at = now
         return self.value
 
 
 class Tally(NamedTuple):
-    """Answers, those among them that were late or full, and the sum of their times against the targets."""
+    """Number of answers, how many of them were late or full, and the sum of their waits in target times."""
 
     total: int = 0
     bad: int = 0
@@ -77,16 +77,16 @@
     def __init__(self) -> None:
         self.by_host: dict[int, list[float]] = {}
 
-    def add(self, host: int, bad: bool, wait: float, counts: bool) -> None:
-        """Count an answer of a host; where it does not count the host is only known to have answered."""
+    def add(self, host: int, bad: bool, wait: float, is_counted: bool) -> None:
+        """Record an answer of a host; if it is not counted, the host is only known to have answered."""
         tally = self.by_host.setdefault(host, [0, 0, 0.0])
-        if counts:
+        if is_counted:
             tally[0] += 1
             tally[1] += bad
-            tally[2] += min(wait, LONGEST_WAIT)
+            tally[2] += min(wait, MAX_WAIT)
 
     def sums(self) -> Tally:
-        """All hosts together."""
+        """Return the tally of all hosts together."""
         tallies = self.by_host.values()
         return Tally(
             int(sum(tally[0] for tally in tallies)),
@@ -95,10 +95,10 @@
         )
 
     def worst(self) -> Tally:
-        """The host with the longest waits."""
+        """Return the tally of the host with the largest sum of waits."""
         total, bad, wait = max(self.by_host.values(), key=lambda tally: tally[2], default=[0, 0, 0.0])
         return Tally(int(total), int(bad), wait)
 
     def clear(self) -> None:
-        """Begin anew."""
+        """Remove all tallies."""
         self.by_host.clear()
--- a/rainturn/decisions/admission.py
+++ b/rainturn/decisions/admission.py
@@ -1,115 +1,120 @@
-"""Admission by worth: tiers are filled from the top to a target, and the boundary tier is let in in part."""
+"""Admission by worth: tiers are filled from the top to a limit, and the boundary tier is admitted in part."""
 
 import math
 
 from rainturn import interface as it
 from rainturn.averages import AnswerTallies
 
-PERIOD_MS = 500.0  # T of the paper: short against targets, so that a surge is met before its answers are late
-TARGET = 0.9  # the paper's 0.6 is of a CPU; ours is of measured departures, so only queues need the rest
-MARK_SHARE = 0.15  # answers late or full that mark a period: well above a few costly requests
-MARK_LEAST = 4  # fewer answers than this say nothing; they gather over periods
-QUEUE_SHARE = 0.4  # part of the target time that requests may take to depart: more marks the period
-MARK_FEW = 10  # up to so many answers their mean wait marks too: the share of late ones says little
-MARK_KEEP = 0.5  # a mark lowers capacity to this part at most: a stall of departures is not a capacity
-MARK_GROWTH = 0.03  # an old mark is trusted less: growth of its capacity, this much more in each period
-BAND = 1.05  # worths within this ratio share a tier: chance differences are no order of worth
+PERIOD_MS = 500.0  # the paper's T: short against target times, so that cuts begin before answers are late
+MAX_UTILIZATION = 0.9  # the paper's 0.6 is of a CPU; this is of measured departures: the rest is for queues
+OVERLOAD_BAD_SHARE = 0.15  # share of late or full answers in an overload: well above a few costly requests
+MIN_ANSWERS = 4  # fewer answers prove nothing; they add up over periods
+MAX_QUEUE_SHARE = 0.4  # share of the target time that requests may take to depart; more means overload
+FEW_ANSWERS = 10  # up to this many, a long mean wait means overload too: the share of late ones says little
+MIN_CAPACITY_KEPT = 0.5  # an overload keeps at least this share: a stall of departures is not a capacity
+CAPACITY_GROWTH_STEP = 0.03  # increase, per period, of the capacity's growth: an old estimate is trusted less
+TIER_RATIO = 1.05  # worths within this ratio share a tier: chance differences are no order of worth
 
 
 class Tiers:
-    """The paper's open loop: estimate each tier's utilization every period and fill to the target."""
+    """The open loop of the paper: estimate each tier's utilization every period and fill up to the limit."""
 
     def __init__(self, settings: it.Settings) -> None:
-        self.tops: list[float] = []  # the largest worth of each tier
+        self.max_worths: list[float] = []  # by tier
         for worth in sorted(
             {c.worth * p.price for c in settings.classes for p in settings.plans}, reverse=True
         ):
-            if not self.tops or worth * BAND < self.tops[-1]:
-                self.tops.append(worth)
-        count = max(1, len(self.tops))
+            if not self.max_worths or worth * TIER_RATIO < self.max_worths[-1]:
+                self.max_worths.append(worth)
+        count = max(1, len(self.max_worths))
         self.arrived, self.sent = [0.0] * count, 0.0  # in this period
-        self.usual = [0.0] * count  # arrivals in a period, smoothed where a period holds few
-        self.cut, self.share = count, 1.0  # the boundary tier, and the part of it that is let in
+        self.mean_arrivals = [0.0] * count  # per period, smoothed more where a period has few
+        self.boundary, self.boundary_share = count, 1.0  # the boundary tier and its share to admit
         self.credit, self.budget = 0.5, 0.0  # of the boundary tier in this period
-        self.marked_at, self.growth = -math.inf, 0.0
-        self.served, self.periods, self.departed = 0, 0, 0.0  # served in this period, and in one on average
+        self.overload_at, self.growth = -math.inf, 0.0
+        self.served, self.periods, self.mean_served = 0, 0, 0.0  # served: in this period, and mean per period
         shortest_ms = min((c.aim_ms for c in settings.classes), default=0.0)
-        self.standing = QUEUE_SHARE * shortest_ms / PERIOD_MS
-        self.capacity = 0.0  # departures in a period at the last mark, growing with its age; 0: none fresh
+        self.max_queue_periods = MAX_QUEUE_SHARE * shortest_ms / PERIOD_MS
+        self.capacity = 0.0  # departures per period at the last overload, growing since; 0: none recent
         self.answers = AnswerTallies()
 
-    def of(self, worth: float) -> int:
-        """The tier of a worth; bands run from the top."""
-        for tier, top in enumerate(self.tops):
-            if worth * BAND >= top:
+    def tier_of(self, worth: float) -> int:
+        """Return the tier of a worth; tiers are numbered from the top."""
+        for tier, max_worth in enumerate(self.max_worths):
+            if worth * TIER_RATIO >= max_worth:
                 return tier
         return len(self.arrived) - 1
 
-    def note(self, host: int, sent_at: float, served: bool, bad: bool, wait: float) -> None:
-        """Count an answer. What was sent before the last mark marks no more, else a backlog refuses all."""
+    def record_answer(self, host: int, sent_at: float, served: bool, bad: bool, wait: float) -> None:
+        """Count an answer.
+
+        Attempts sent before the last overload show no new one: otherwise a backlog would refuse everything.
+        """
         self.served += served
-        self.answers.add(host, bad, wait, counts=sent_at >= self.marked_at)
+        self.answers.add(host, bad, wait, is_counted=sent_at >= self.overload_at)
 
-    def admit(self, tier: int, weight: float = 1.0) -> bool:
-        """Spend the boundary tier's budget on arrival: fractions carry over, as few come to one gateway."""
-        self.arrived[tier] += weight  # the chance that its quota lets it through
-        if tier >= self.cut:
-            self.credit += self.share if tier == self.cut else 0.0
-            self.credit = min(self.credit, self.budget + 1.0)  # a surge inside the period spends no more
-            if tier > self.cut or self.credit < 1.0:
+    def admit(self, tier: int, pass_chance: float = 1.0) -> bool:
+        """Decide on an arrival; fractions of the boundary tier's budget carry over, as few reach one gateway.
+
+        `pass_chance` is the chance that the request's quota admits it.
+        """
+        self.arrived[tier] += pass_chance
+        if tier >= self.boundary:
+            self.credit += self.boundary_share if tier == self.boundary else 0.0
+            self.credit = min(self.credit, self.budget + 1.0)  # a surge within the period spends no more
+            if tier > self.boundary or self.credit < 1.0:
                 return False
             self.credit -= 1.0
-            self.budget -= weight
-        self.sent += weight
+            self.budget -= pass_chance
+        self.sent += pass_chance
         return True
 
-    def roll(self, now: float, out: int, overdue: int = 0) -> None:
-        """End a period: mark it if answers were bad beyond one sick host, then budget the next one."""
+    def end_period(self, now: float, out: int, overdue: int = 0) -> None:
+        """End a period: look for an overload beyond one failing host, then set the next period's budget."""
         served, self.served = self.served, 0
         worst, (total, bad, wait) = self.answers.worst(), self.answers.sums()
-        total, wait = (
-            total + overdue,
-            wait + overdue,
-        )  # what is out past half of its target is as good as late
+        # Requests that are out past half of their target time count as late.
+        total, wait = total + overdue, wait + overdue
         self.periods += 1
-        self.departed += max(0.3, 1 / self.periods) * (served - self.departed)
-        usual = max(self.departed, served) * self.standing
-        backlog = out - usual - 2 * math.sqrt(usual)  # few requests gather by chance
+        self.mean_served += max(0.3, 1 / self.periods) * (served - self.mean_served)
+        usual = max(self.mean_served, served) * self.max_queue_periods
+        backlog = out - usual - 2 * math.sqrt(usual)  # a few requests gather by chance
         others = total - worst.total
-        many_bad = bad - worst.bad >= MARK_SHARE * others
-        long_wait = total <= MARK_FEW and wait - worst.wait >= QUEUE_SHARE * others
-        late = total >= MARK_LEAST and others > 0 and (many_bad or long_wait)
-        if late or (backlog > 0 and out >= 2 * MARK_LEAST and self.periods > 1):
-            self.capacity = max(0.01, self.departed, MARK_KEEP * (self.capacity or self.sent))
-            self.marked_at, self.growth = now, 0.0
-        elif self.capacity:  # lifted by how much of what was sent since came back well; quick answers: faster
+        many_bad = bad - worst.bad >= OVERLOAD_BAD_SHARE * others
+        long_wait = total <= FEW_ANSWERS and wait - worst.wait >= MAX_QUEUE_SHARE * others
+        late = total >= MIN_ANSWERS and others > 0 and (many_bad or long_wait)
+        if late or (backlog > 0 and out >= 2 * MIN_ANSWERS and self.periods > 1):
+            self.capacity = max(0.01, self.mean_served, MIN_CAPACITY_KEPT * (self.capacity or self.sent))
+            self.overload_at, self.growth = now, 0.0
+        elif self.capacity:
+            # Capacity rises by the share of requests that were answered since, and faster with quick answers.
             proof = (total - overdue) / (total - overdue + out) if out else 1.0
-            proof *= max(0.0, 3 - 3 * wait / (QUEUE_SHARE * total)) if total else 1.0
-            self.growth += MARK_GROWTH
+            proof *= max(0.0, 3 - 3 * wait / (MAX_QUEUE_SHARE * total)) if total else 1.0
+            self.growth += CAPACITY_GROWTH_STEP
             self.capacity *= 1 + proof * self.growth
-        if total >= MARK_LEAST or now == self.marked_at:
+        if total >= MIN_ANSWERS or now == self.overload_at:
             self.answers.clear()
-        self._fill(max(0.0, out - self.capacity * self.standing))
+        self._set_boundary(max(0.0, out - self.capacity * self.max_queue_periods))
         self.sent, self.arrived = 0.0, [0.0] * len(self.arrived)
 
-    def _fill(self, backlog: float) -> None:
+    def _set_boundary(self, backlog: float) -> None:
         """Fill tiers from the top: rho_new = lambda_new x rho_prev / lambda_prev, the paper's equation 5.
 
-        What stands too long in front of the hosts fills first: it departs before anything new.
+        A backlog of requests that wait too long at the hosts is filled in first: it departs before new ones.
         """
-        trust = min(1.0, sum(self.arrived) / (2 * MARK_LEAST))  # few arrivals tell little of each tier's rate
+        trust = min(1.0, sum(self.arrived) / (2 * MIN_ANSWERS))  # few arrivals say little of each tier's rate
         for tier, arrivals in enumerate(self.arrived):
-            self.usual[tier] += max(0.1, trust) * (arrivals - self.usual[tier])
-        self.cut, self.share = len(self.usual), 1.0
+            self.mean_arrivals[tier] += max(0.1, trust) * (arrivals - self.mean_arrivals[tier])
+        self.boundary, self.boundary_share = len(self.mean_arrivals), 1.0
         if not self.capacity:
             return
         used = backlog / self.capacity
-        for tier, arrivals in enumerate(self.usual):
-            rho = arrivals / self.capacity  # rho_prev / lambda_prev: one request's part of the capacity
-            if used + rho > TARGET:
-                self.cut, self.share = tier, max(0.0, TARGET - used) / max(rho, 0.01)
-                self.budget = max(0.0, TARGET - used) * self.capacity
+        for tier, arrivals in enumerate(self.mean_arrivals):
+            rho = arrivals / self.capacity  # rho_prev / lambda_prev: one request's share of the capacity
+            if used + rho > MAX_UTILIZATION:
+                self.boundary, self.boundary_share = tier, max(0.0, MAX_UTILIZATION - used) / max(rho, 0.01)
+                self.budget = max(0.0, MAX_UTILIZATION - used) * self.capacity
                 return
             used += rho
-        if used < 0.7 * TARGET:
-            self.capacity = 0.0  # the mark binds nothing by far: no longer fresh
+        if used < 0.7 * MAX_UTILIZATION:
+            self.capacity = 0.0  # far from limiting anything: the estimate has expired
--- a/rainturn/decisions/attempts.py
+++ b/rainturn/decisions/attempts.py
@@ -60,10 +60,10 @@
         """Rule 5: units leave the store at the first send itself, else held requests gather into a burst."""
         customer = request.customer
         if customer is not None and customer.plan.ceiling_rate:
-            quota.advance(customer, now)
-            if customer.ceiling < request.units:
+            quota.refill_buckets(customer, now)
+            if customer.ceiling_level < request.units:
                 return False
-            customer.ceiling -= request.units
+            customer.ceiling_level -= request.units
         return True
 
     def _park(self, now: float, request: PendingRequest) -> None:
--- a/rainturn/decisions/gateway.py
+++ b/rainturn/decisions/gateway.py
@@ -76,7 +76,7 @@
         return self.host_choice.skipped()
 
     def _begin(self, now: float) -> None:
-        self.begun, self.meter.started = True, now
+        self.begun, self.meter.started_at = True, now
         ends = now + PERIOD_MS * (0.5 + self.rng.random())  # gateways out of step
         self.attempts.hold_timers.period_ends = ends
         self.timers.after(now, ends - now, self._period)
@@ -97,17 +97,17 @@
             return self.attempts.refuse(now, request)
         customer, price, weight = None, 1.0, 1.0
         if 0 <= event.plan < len(self.settings.plans):
-            customer = request.customer = self.meter.customer(now, event)
-            price, weight = customer.plan.price, self.meter.weight(customer, event.plan)
-        tier = self.tiers.of(klass.worth * price)
+            customer = request.customer = self.meter.get_customer(now, event)
+            price, weight = customer.plan.price, self.meter.pass_chance(customer, event.plan)
+        tier = self.tiers.tier_of(klass.worth * price)
         if not self.tiers.admit(tier, weight):
             # The boundary tier has a new budget next period; when lower tiers are let in again is not known.
             left_ms = max(0.0, self.attempts.hold_timers.period_ends - now)
-            self.attempts.refuse(now, request, left_ms if tier == self.tiers.cut else 0.0)
+            self.attempts.refuse(now, request, left_ms if tier == self.tiers.boundary else 0.0)
         elif customer is None or not customer.plan.rate:
             self.slots.start(now, request)
         else:
-            self.meter.meter(now, request, customer)
+            self.meter.check_quota(now, request, customer)
 
     def _attempt_ended(self, now: float, event: it.AttemptEnded) -> None:
         customer = self.attempts.attempt_ended(now, event)
@@ -116,11 +116,11 @@
 
     def _count_answered(self, now: float, event: it.CountAnswered) -> None:
         if now - event.elapsed >= self.host_choice.evidence_since:
-            self.calls.note_answer(event)
+            self.calls.record_answer(event)
         customer = self.customers.get(customer_key(event.name))
         if customer is not None:
             part = self.slots if is_slots_name(event.name) else self.meter
-            part.answered(now, event, customer)
+            part.handle_answer(now, event, customer)
 
     def _host_list(self, now: float, event: it.HostList) -> None:
         """Follow the list. Draining and gone hosts get nothing from here on, re-attempts included."""
@@ -147,7 +147,7 @@
         self.timers.after(now, PERIOD_MS, self._period)
         self.attempts.hold_timers.begin_period(now, now + PERIOD_MS, self.open.values())
         self.index.begin_period(now)
-        since = max(self.tiers.marked_at, self.host_choice.evidence_since)
-        self.tiers.roll(now, self.host_choice.open_attempts(), self.attempts.overdue(now, since))
+        since = max(self.tiers.overload_at, self.host_choice.evidence_since)
+        self.tiers.end_period(now, self.host_choice.open_attempts(), self.attempts.overdue(now, since))
         if self.rng.random() < FORGET_SHARE:
             self.meter.forget_idle(now)
--- a/rainturn/decisions/hosts.py
+++ b/rainturn/decisions/hosts.py
@@ -126,7 +126,7 @@
             self.answered(now, host, event.elapsed / max(1.0, usual.mean))
             usual.add(event.elapsed)
             late = now - request.arrived_at > target_ms
-            self.tiers.note(host.id, sent_at, True, late, event.elapsed / target_ms)
+            self.tiers.record_answer(host.id, sent_at, True, late, event.elapsed / target_ms)
         elif outcome in (Outcome.FULL, Outcome.ERROR):
             self.answered(now, host, FULL_SLOWNESS if outcome is Outcome.FULL else SLOWEST)
         elif outcome is Outcome.RESET:
@@ -134,7 +134,7 @@
         elif outcome in (Outcome.TIMEOUT, Outcome.UNREACHABLE):
             self.failed(now, host)
         if outcome in (Outcome.FULL, Outcome.TIMEOUT) and sent_at >= self.evidence_since:
-            self.tiers.note(host.id, sent_at, False, True, 0.0)
+            self.tiers.record_answer(host.id, sent_at, False, True, 0.0)
         if not host.open_attempts:
             host.waiting_since = now
 
--- a/rainturn/decisions/metering.py
+++ b/rainturn/decisions/metering.py
@@ -1,4 +1,4 @@
-"""Which requests customers' quotas let in: by totals of the shared counts or, without one, by the store."""
+"""Decides which requests the quotas admit: by totals of the shared counts or, without one, by the bucket."""
 
 import math
 
@@ -12,8 +12,8 @@
 from rainturn.interface import Outcome
 from rainturn.records import CounterCall, Customer, PendingRequest
 
-LOSS_MS = 500.0  # over so long gateways tell again what the counter has lost, so that it is not flooded
-LOSS_UNITS = 6.0  # of those whose count has grown by no more than some three requests since they read it
+RECOVERY_MS = 500.0  # gateways restore lost counts over this time, so that the counter is not flooded
+RECOVERY_UNITS = 6.0  # a count is restored only if it grew by at most this (about 3 requests) since read
 
 
 class QuotaMeter(Component):
@@ -24,18 +24,18 @@
         self.attempts, self.slots, self.calls = attempts, slots, calls
         self.customers: dict[int, Customer] = {}
         self.pass_shares = [PassShare(0.5 * self.settings.counter, 2.0) for _ in self.settings.plans]
-        self.mean_need = 1.0  # how much there is to tell and to learn about a request's customer
-        self.total_at = self.lost_at = -math.inf  # the last total, and when counts were found lost
-        self.fell_at = -math.inf  # and when one was seen to have fallen, which leaves no doubt
-        self.empty_counts = 0  # in a row that were empty though their window is no new one
-        self.started = 0.0  # when this gateway's first event came
-
-    def customer(self, now: float, event: it.Arrived) -> Customer:
-        """The request's customer. Without a total a new one gets its plan's share, less for overruns."""
+        self.mean_call_value = 1.0  # of `quota.call_value`, over requests
+        self.last_total_at = self.loss_found_at = -math.inf  # last total; last time that a loss was found
+        self.fall_seen_at = -math.inf  # last time that a count was seen to fall, which proves a loss
+        self.empty_counts = 0  # consecutive empty counts well after the start of their window
+        self.started_at = 0.0  # time of this gateway's first event
+
+    def get_customer(self, now: float, event: it.Arrived) -> Customer:
+        """Return the request's customer; a new one gets its plan's pass share, reduced for overruns."""
         customer, plan = self.customers.get(event.customer), self.settings.plans[event.plan]
         if customer is None or customer.plan is not plan:
             former = customer
-            customer = quota.new_customer(event.customer, plan, event.spread, now, self.started or now)
+            customer = quota.new_customer(event.customer, plan, event.spread, now, self.started_at or now)
             cost = plan.over_cost / (1 + plan.over_cost)
             customer.pass_share = max(0.0, self.pass_shares[event.plan].share - cost) / (1 - cost)
             customer.pass_credit = self.rng.random()
@@ -43,183 +43,184 @@
             if former is not None:
                 self._decide_without_total(now, former)
         customer.last_request_at = now
-        quota.advance(customer, now)
+        quota.refill_buckets(customer, now)
         return customer
 
     def _decide_without_total(self, now: float, former: Customer) -> None:
-        """Decide what waits for a total of a customer that came with another plan before.
+        """Decide the waiting requests of a customer for whom a new request names another plan.
 
-        Guards against one request with a wrong plan making that the customer's own: the one that a request
-        names counts. An answer to a call that is out is not taken any more, so what waits goes by the store.
+        Guards against one request with a wrong plan setting the customer's plan: the plan that each request
+        names counts. The answer to a pending call is ignored from here on, so the bucket decides.
         """
         waiting, former.waiting = former.waiting, []
         for request in waiting:
             self._decide(now, request, former, ok=False, counted=False)
-        former.slots = max(former.slots, former.fallback_slots)
+        former.granted_slots = max(former.granted_slots, former.fallback_slots)
         self.slots.serve(now, former)
 
-    def weight(self, customer: Customer, plan: int) -> float:
-        """The chance that the customer's quota lets a request of it through."""
-        share = customer.pass_share if customer.window >= 0 else self.pass_shares[plan].share
+    def pass_chance(self, customer: Customer, plan: int) -> float:
+        """Return the chance, at least 0.1, that the customer's quota admits a request."""
+        share = customer.pass_share if customer.total_window >= 0 else self.pass_shares[plan].share
         return max(0.1, share) if customer.plan.rate else 1.0
 
-    def meter(self, now: float, request: PendingRequest, customer: Customer) -> None:
-        """Ask the count. Where calls must be thinned they go where they teach most; else the store decides.
+    def check_quota(self, now: float, request: PendingRequest, customer: Customer) -> None:
+        """Decide on a request by a total of the count or, while calls are thinned, often by the bucket.
 
-        What it lets in is told with the customer's next call, so that the count stays exact however few ask.
+        Thinned calls are made where they are worth most. Units that the bucket lets in are reported with the
+        customer's next call, so that the count stays exact however few calls are made.
         """
-        if self.calls.enabled and quota.surely_short(customer, now, request.units):
-            self._note_decision(request, customer, False)
+        if self.calls.enabled and quota.must_refuse(customer, now, request.units):
+            self._record_decision(request, customer, False)
             self.attempts.refuse(now, request, quota.refill_ms(customer, request.units))
-        elif self.calls.enabled and self._asks(now, request, customer):
+        elif self.calls.enabled and self._should_wait(now, request, customer):
             customer.waiting.append(request)
             self.attempts.hold(now, request)
             self.calls.call(now, customer)
         else:
-            admitted = quota.take(customer, request.units, draw=customer.window < 0)
+            admitted = quota.try_take(customer, request.units, use_pass_share=customer.total_window < 0)
             if admitted and self.calls.enabled:
                 customer.unreported += request.units
-                self.calls.report_later(now, customer)
-            customer.pass_share *= (
-                0.9  # seen often without a total: the own part of the rate is left, no more
-            )
-            self._admit(now, request, customer, admitted)
+                self.calls.schedule_report(now, customer)
+            # A customer often decided without a total may use this gateway's part of the rate, no more.
+            customer.pass_share *= 0.9
+            self._carry_out(now, request, customer, admitted)
 
-    def _asks(self, now: float, request: PendingRequest, customer: Customer) -> bool:
-        """Whether a request waits for a total.
+    def _should_wait(self, now: float, request: PendingRequest, customer: Customer) -> bool:
+        """Return whether a request waits for a total.
 
-        While calls are thinned one that is out draws no others after it: these would wait, and chain up. What
-        the store would let in has to be told by a call anyway: as well ask first.
+        While calls are thinned, a pending call draws no further requests: they would wait in turn and form a
+        chain of calls. Units that the bucket lets in must be reported by a call anyway, so asking first costs
+        no more.
         """
-        need = quota.news_weight(customer, now, request.units)
-        self.mean_need += 0.01 * (need - self.mean_need)
-        share = self.calls.share(now)
-        likely = share if share == 1.0 else share * need / self.mean_need
-        if (customer.call and share == 1.0) or self.rng.random() < likely:
+        value = quota.call_value(customer, now, request.units)
+        self.mean_call_value += 0.01 * (value - self.mean_call_value)
+        share = self.calls.share_to_make(now)
+        likely = share if share == 1.0 else share * value / self.mean_call_value
+        if (customer.pending_call and share == 1.0) or self.rng.random() < likely:
             return True
-        return quota.would_take(customer, request.units) and self.rng.random() < share
+        return quota.can_take(customer, request.units) and self.rng.random() < share
 
-    def _admit(self, now: float, request: PendingRequest, customer: Customer, admitted: bool) -> None:
+    def _carry_out(self, now: float, request: PendingRequest, customer: Customer, admitted: bool) -> None:
         request.charged = admitted
         if admitted:
             self.slots.start(now, request)
         else:
             self.attempts.refuse(now, request, quota.refill_ms(customer, request.units))
 
-    def _note_decision(self, request: PendingRequest, customer: Customer, admitted: bool) -> None:
-        """Learn from a decision by a total how many of the customer's and its plan's requests pass."""
+    def _record_decision(self, request: PendingRequest, customer: Customer, admitted: bool) -> None:
+        """Update the pass shares of the customer and its plan with a decision by a total."""
         customer.pass_share += 0.5 * (admitted - customer.pass_share)
         self.pass_shares[request.plan].add(admitted)
 
-    def answered(self, now: float, event: it.CountAnswered, customer: Customer) -> None:
-        """A total sets level and share; without one the store decides alone."""
-        call, ok, total = customer.call, event.outcome is Outcome.OK, event.total
+    def handle_answer(self, now: float, event: it.CountAnswered, customer: Customer) -> None:
+        """Update level and pass share by a call's total; without a total, the bucket decides alone."""
+        call, ok, total = customer.pending_call, event.outcome is Outcome.OK, event.total
         if call is None:
             return
         added = event.outcome not in (Outcome.FULL, Outcome.UNREACHABLE)
-        known = call.window in (customer.debt_window, customer.window if customer.total >= 0.5 else -1)
+        known = call.window in (customer.debt_window, customer.total_window if customer.total >= 0.5 else -1)
         age, empty = customer.window_age(now, call.window), total - call.amount < 0.5
         if ok and call.amount > 0.0 and customer.new_window_total is None:
             self.empty_counts = self.empty_counts + 1 if empty and age > customer.window_ms / 8 else 0
-            if self.empty_counts >= 2:  # counts that have been empty for long are rare
-                self._counts_lost(now)
-        # Its count has just been lost, and the last window's: the calls are for those that know these.
-        loss_known, debt = age > now - self.lost_at and now - self.lost_at < 4 * LOSS_MS, 0.0
-        if customer.new_window_total is not None:  # the last window's total has come, or is not to be had
-            debt = quota.debt(customer, now, call.window, total) if ok else 0.0
+            if self.empty_counts >= 2:  # counts that stay empty for long are rare
+                self._recover_counts(now)
+        # If this count and the last window's have just been lost, calls are left to gateways that know them.
+        loss_known, debt = age > now - self.loss_found_at and now - self.loss_found_at < 4 * RECOVERY_MS, 0.0
+        if customer.new_window_total is not None:  # the last window's total has come or is unavailable
+            debt = quota.carried_debt(customer, now, call.window, total) if ok else 0.0
             customer.debt_window = call.window if ok else -1
             total, customer.new_window_total = customer.new_window_total, None
             ok = added = True
         elif ok and empty and call.amount > 0.0 and not (known or loss_known or call.correction):
-            # Whoever comes first, one gateway of all, carries what the last window used too much: else all
-            # take the store for full. Its own requests wait for that. An empty count that was not is lost.
+            # The first of all gateways in a window carries over the last window's debt; otherwise all take
+            # the bucket for full. Its own requests wait for that. A count that was not empty before is lost.
             customer.debt_window, customer.new_window_total = call.window, total
             return self.actions.append(it.Count(units_name(customer.key, call.window - 1), 0.0, 1.0))
-        customer.call = None
-        quota.advance(customer, now)
+        customer.pending_call = None
+        quota.refill_buckets(customer, now)
         if ok:
-            self._take_total(now, customer, call, total, debt, loss_known)
+            self._apply_total(now, customer, call, total, debt, loss_known)
         if not added:
             customer.unreported += call.reported
         self._decide_waiting(now, customer, call, ok, added)
         if customer.waiting or ((customer.unreported or customer.correction) and ok):
             self.calls.call(now, customer)
         elif customer.unreported:
-            self.calls.report_later(now, customer)
+            self.calls.schedule_report(now, customer)
 
-    def _take_total(
+    def _apply_total(
         self, now: float, customer: Customer, call: CounterCall, total: float, debt: float, loss_known: bool
     ) -> None:
-        """Learn from a total, and see what the count lacks or holds too much."""
-        fell = customer.window == call.window and total - call.amount < customer.total / 4
-        lost = 0.0 if debt else quota.lost_units(customer, now, call, total, loss_known, self.fell_at)
+        """Apply a total, and plan the correction of a count that holds too little or too much."""
+        fell = customer.total_window == call.window and total - call.amount < customer.total / 4
+        lost = 0.0 if debt else quota.lost_units(customer, now, call, total, loss_known, self.fall_seen_at)
         lacking = debt + lost
-        quota.learn(customer, now, call, total + lacking)
+        quota.apply_total(customer, now, call, total + lacking)
         if lacking:
             customer.total, customer.corrected_total = total, total + lacking
             customer.correction, customer.correction_window = lacking, call.window
         if lost and fell:
-            self.fell_at = now
-            self._counts_lost(now)
-        elif not lacking and (call.correction or (not loss_known and not self.calls.left_out(now))):
+            self.fall_seen_at = now
+            self._recover_counts(now)
+        elif not lacking and (call.correction or (not loss_known and not self.calls.should_skip(now))):
             quota.reconcile(customer, now, call, total)
         if not self.empty_counts:
-            self.total_at = now
+            self.last_total_at = now
 
     def _decide_waiting(
         self, now: float, customer: Customer, call: CounterCall, ok: bool, added: bool
     ) -> None:
-        """Decide on the requests that waited for a call if it asked for them or has failed."""
-        due, customer.waiting = customer.waiting[: call.requests], customer.waiting[call.requests :]
+        """Decide on the requests that waited for a call if it included their units or failed."""
+        due, customer.waiting = customer.waiting[: call.request_count], customer.waiting[call.request_count :]
         claims: list[PendingRequest] = []
-        if ok and not call.asked and due:
-            # What now seems to fit has to ask: several gateways may have read the same.
+        if ok and not call.requested and due:
+            # Requests that now seem to fit must first claim their units: others may have read the same total.
             customer.waiting = [r for r in due if r.id in self.attempts.open] + customer.waiting
-            claims = quota.fitting(customer)
+            claims = quota.fitting_requests(customer)
             due = [request for request in customer.waiting if request not in claims]
             customer.waiting = claims
         kept = sum(request.units for request in claims)
         customer.level -= kept
         for request in due:
-            self._decide(now, request, customer, ok, call.asked > 0 and added)
+            self._decide(now, request, customer, ok, call.requested > 0 and added)
         customer.level += kept
 
     def _decide(
         self, now: float, request: PendingRequest, customer: Customer, ok: bool, counted: bool
     ) -> None:
-        """Admit or refuse by the total; one that ended while it waited only returns its units (rule 1)."""
+        """Admit or refuse by the total; a request that ended while it waited only returns units (rule 1)."""
         is_open = request.id in self.attempts.open
-        admitted = is_open and quota.take(customer, request.units, draw=not ok)
+        admitted = is_open and quota.try_take(customer, request.units, use_pass_share=not ok)
         if admitted != counted:
             customer.unreported += request.units * (1 if admitted else -1)
         if ok and is_open:
-            self._note_decision(request, customer, admitted)
+            self._record_decision(request, customer, admitted)
         if is_open:
-            self._admit(now, request, customer, admitted)
+            self._carry_out(now, request, customer, admitted)
 
-    def _counts_lost(self, now: float) -> None:
-        """The counter has lost its counts: ask about those that hold little and were read here lately.
+    def _recover_counts(self, now: float) -> None:
+        """After the counter lost its counts, read those of low customers again that were read here recently.
 
-        Most gateways don't know a customer and take an empty count for a full store. Who was among the last
-        to read a count knows what it held, by as much as the others have let in since.
+        Most gateways do not know a customer and take an empty count for a full bucket. A gateway that was
+        among the last to read a count knows its value, up to the units that others have let in since.
         """
-        if now - self.lost_at < 2 * LOSS_MS:
+        if now - self.loss_found_at < 2 * RECOVERY_MS:
             return
-        self.lost_at = now
+        self.loss_found_at = now
         for customer in self.customers.values():
-            grown = max(0.0, self.total_at - customer.total_at) * customer.others_rate / 1000
-            lately = customer.window == customer.window_at(now) and grown <= LOSS_UNITS
-            if lately and customer.level < 0.75 * customer.plan.burst:
-                self.timers.after(now, grown / LOSS_UNITS * LOSS_MS, self._read_again, customer)
+            grown = max(0.0, self.last_total_at - customer.total_at) * customer.others_rate / 1000
+            is_recent = customer.total_window == customer.window_at(now) and grown <= RECOVERY_UNITS
+            if is_recent and customer.level < 0.75 * customer.plan.burst:
+                self.timers.after(now, grown / RECOVERY_UNITS * RECOVERY_MS, self._read_again, customer)
 
     def _read_again(self, now: float, customer: Customer) -> None:
-        if self.calls.left_out(now):
-            if now - self.lost_at < 4 * LOSS_MS:
-                self.timers.after(now, LOSS_MS / 4, self._read_again, customer)
-        elif customer.call is None:
+        if self.calls.should_skip(now):
+            if now - self.loss_found_at < 4 * RECOVERY_MS:
+                self.timers.after(now, RECOVERY_MS / 4, self._read_again, customer)
+        elif customer.pending_call is None:
             self.calls.call(now, customer)
 
     def forget_idle(self, now: float) -> None:
-        """Forget customers who have been away for long and have nothing open."""
+        """Forget customers that have been idle for long and have nothing open."""
         for customer in [customer for customer in self.customers.values() if customer.is_idle(now)]:
             del self.customers[customer.key]
--- a/rainturn/records.py
+++ b/rainturn/records.py
@@ -189,20 +189,20 @@
     """A call to a customer's count that is out, and what its amount is made of, all in units."""
 
     window: int
-    amount: float  # the sum of the three next
-    asked: float = 0.0  # for the requests that wait for it
-    reported: float = 0.0  # let in without a call
-    correction: float = 0.0  # what puts the count right
-    corrected_total: float = 0.0  # what the count shows at least after the correction
-    requests: int = 0  # how many wait for it, the first in line
+    amount: float  # sum of the next three
+    requested: float = 0.0  # for the requests that wait for the call
+    reported: float = 0.0  # let in earlier without a call
+    correction: float = 0.0  # added to make the count match the bucket
+    corrected_total: float = 0.0  # minimum total after the correction
+    request_count: int = 0  # number of requests that wait for it, from the head of `Customer.waiting`
 
 
 class SlotCall(NamedTuple):
     """A call to the count of a customer's open attempts that is out."""
 
     window: int
-    amount: int  # slots claimed, or given back where negative
-    claims: bool  # whether requests wait for slots
+    amount: int  # slots claimed, or given back if negative
+    is_claim: bool  # whether requests wait for slots
 
 
 class Customer:
@@ -212,26 +212,26 @@
         "key",
         "plan",
         "spread",
-        "keep_ms",
+        "idle_timeout_ms",
         "last_request_at",
         "level",
-        "counted_level",
+        "confirmed_level",
         "filled_at",
         "others_rate",
         "overrun",
         "pass_share",
         "pass_credit",
         "ceiling_rate",
-        "ceiling",
-        "ceiling_at",
+        "ceiling_level",
+        "ceiling_filled_at",
         "window_ms",
         "window_phase",
-        "window",
+        "total_window",
         "total",
         "total_at",
         "unreported",
         "report_scheduled",
-        "call",
+        "pending_call",
         "waiting",
         "debt_window",
         "new_window_total",
@@ -241,11 +241,11 @@
         "open_attempts",
         "slot_queue",
         "fallback_slots",
-        "slots",
+        "granted_slots",
         "slots_counted",
         "slots_window",
         "slots_uncertain",
-        "slot_call",
+        "pending_slot_call",
         "no_slot_calls_until",
         "no_claims_until",
         "denials",
@@ -257,45 +257,45 @@
         self.spread = max(1.0, spread)  # how many gateways its requests come through
         self.last_request_at = now
 
-        self.level = 0.0  # units in the store
-        self.counted_level = 0.0  # the same by the last total, before what was let in since
-        self.filled_at = now  # when the level was brought up to date
-        self.others_rate = 0.0  # units/s that the other gateways take
-        self.overrun = 0.0  # units let in by others lately beyond what the store held
-        self.pass_share = 1.0  # of its requests, lately
-        self.pass_credit = 0.0
-        self.ceiling_rate = 0.0  # this gateway's part of the ceiling, units/ms
-        self.ceiling = 0.0  # units in the ceiling's store
-        self.ceiling_at = now
+        self.level = 0.0  # units in the quota bucket
+        self.confirmed_level = 0.0  # level by the last total, without units let in since
+        self.filled_at = now  # time of the last refill of the level
+        self.others_rate = 0.0  # estimated units/s that the other gateways take
+        self.overrun = 0.0  # units that others recently let in beyond what the bucket held
+        self.pass_share = 1.0  # share of its recent requests that passed the quota
+        self.pass_credit = 0.0  # carried-over fractions of `pass_share`
+        self.ceiling_rate = 0.0  # this gateway's share of the ceiling, units/ms
+        self.ceiling_level = 0.0  # units in the ceiling bucket
+        self.ceiling_filled_at = now
 
         self.window_ms = counts.window_ms(plan)
         self.window_phase = counts.window_phase(key, self.window_ms)
         # Many come only once: by then the window is over, the store full again and nothing left to know.
-        self.keep_ms = self.window_ms + 1000.0 * plan.burst / plan.rate if plan.rate else IDLE_MS
-        self.window = -1  # of the last total; -1: there was none
+        self.idle_timeout_ms = self.window_ms + 1000.0 * plan.burst / plan.rate if plan.rate else IDLE_MS
+        self.total_window = -1  # window of the last total; -1: no total yet
         self.total = 0.0
         self.total_at = -math.inf
-        self.unreported = 0.0  # units that the count is still to be told
-        self.report_scheduled = False  # whether a timer sees to that
-        self.call: CounterCall | None = None
-        self.waiting: list[PendingRequest] = []  # for a total
-        self.debt_window = -1  # into which this gateway carries the last window's debt
-        self.new_window_total: float | None = None  # set while the last window's total is asked for
-        self.correction = 0.0  # units the count must be told so that it shows what the store holds
+        self.unreported = 0.0  # units still to be reported to the count
+        self.report_scheduled = False  # whether a timer will report them
+        self.pending_call: CounterCall | None = None
+        self.waiting: list[PendingRequest] = []  # requests waiting for a total
+        self.debt_window = -1  # window into which this gateway carries the previous window's debt
+        self.new_window_total: float | None = None  # set while the previous window's total is being read
+        self.correction = 0.0  # units to add to the count so that it matches the bucket
         self.correction_window = -1
-        self.corrected_total = 0.0  # what the count shows at least after the correction
+        self.corrected_total = 0.0  # minimum total of the count after the correction
 
         self.open_attempts = 0
-        self.slot_queue: list[PendingRequest] = []  # waiting for a slot
+        self.slot_queue: list[PendingRequest] = []  # requests waiting for a slot
         self.fallback_slots = 1  # safe to use without the count
-        self.slots = 0  # granted
-        self.slots_counted = 0  # what the count holds of this gateway's in `slots_window`
+        self.granted_slots = 0
+        self.slots_counted = 0  # this gateway's part of the count in `slots_window`
         self.slots_window = -1
-        self.slots_uncertain = False  # whether the last call may have been added or not
-        self.slot_call: SlotCall | None = None
-        self.no_slot_calls_until = now  # as the last one failed
-        self.no_claims_until = now  # as the last ones were denied
-        self.denials = 0  # in a row
+        self.slots_uncertain = False  # whether it is unknown if the last call was added
+        self.pending_slot_call: SlotCall | None = None
+        self.no_slot_calls_until = now  # because the last call failed
+        self.no_claims_until = now  # because the last claims were denied
+        self.denials = 0  # consecutive denied claims
 
     def window_at(self, now: float) -> int:
         """The window of this time, the same at all gateways."""
@@ -307,6 +307,10 @@
 
     def is_idle(self, now: float) -> bool:
         """Whether it has been away for long and has nothing open."""
-        if now - self.last_request_at <= self.keep_ms or self.call is not None or self.slot_call is not None:
+        if (
+            now - self.last_request_at <= self.idle_timeout_ms
+            or self.pending_call is not None
+            or self.pending_slot_call is not None
+        ):
             return False
         return not self.open_attempts and not self.slot_queue
--- a/tests/test_module.py
+++ b/tests/test_module.py
@@ -14,8 +14,8 @@
 
 from rainturn import interface as it
 from rainturn.decisions import Gateway, quota
-from rainturn.decisions.admission import TARGET, Tiers
-from rainturn.decisions.quota import FAILED_LOAD, new_customer
+from rainturn.decisions.admission import MAX_UTILIZATION, Tiers
+from rainturn.decisions.quota import FAILED_CALL_LOAD, new_customer
 from rainturn.records import CounterCall, Customer
 from tests.helpers import KEYED, LIMITS, PLAN, SAFE, UNSAFE, Drive, hosts, of, settings
 
@@ -32,26 +32,26 @@
         for _ in range(count):
             board.admit(tier)
     for n in range(served):
-        board.note(n % 3, now, True, False, 0.2)
-    board.roll(now, out)
+        board.record_answer(n % 3, now, True, False, 0.2)
+    board.end_period(now, out)
 
 
 def test_worths_within_a_band_share_a_tier() -> None:
     board = tiers(10, 9.8, 5, 1)
-    assert [board.of(w) for w in (10, 9.8, 5, 1, 0.1)] == [0, 0, 1, 2, 2]
+    assert [board.tier_of(w) for w in (10, 9.8, 5, 1, 0.1)] == [0, 0, 1, 2, 2]
 
 
 def test_tiers_fill_top_down_and_the_boundary_tier_gets_a_part() -> None:
     board = tiers(9, 3, 1)
     for _ in range(4):
         overload(board, [10, 20, 30], 40, 40)
-    board.roll(0.0, 0)
+    board.end_period(0.0, 0)
     overload(board, [10, 20, 30], 40, 300)
     assert board.capacity > 0
     board.capacity = 40.0
     board.arrived = [10, 40, 30]
-    board._fill(0.0)
-    assert board.cut == 1 and abs(board.share - (TARGET * 40 - 10) / 40) < 1e-6
+    board._set_boundary(0.0)
+    assert board.boundary == 1 and abs(board.boundary_share - (MAX_UTILIZATION * 40 - 10) / 40) < 1e-6
     assert all(board.admit(0) for _ in range(10)) and not any(board.admit(2) for _ in range(30))
     assert 25 <= sum(board.admit(1) for _ in range(40)) <= 27
     assert sum(board.admit(1) for _ in range(400)) <= 2, "a surge inside the period spends no more"
@@ -62,7 +62,7 @@
     board = tiers(9, 1)
     passed = 0
     for _ in range(400):
-        board.cut, board.share, board.budget = 1, 0.25, 0.25
+        board.boundary, board.boundary_share, board.budget = 1, 0.25, 0.25
         passed += board.admit(1)
     assert 90 <= passed <= 110
 
@@ -72,41 +72,41 @@
     board = tiers(1)
     for period in range(12):
         board.admit(0)
-        board.note(period, 500.0 * period, True, period == 5, 1.5 if period == 5 else 0.2)
-        board.roll(500.0 * period, 1)
+        board.record_answer(period, 500.0 * period, True, period == 5, 1.5 if period == 5 else 0.2)
+        board.end_period(500.0 * period, 1)
     assert board.capacity == 0.0
     for period in range(12, 18):
         board.admit(0)
-        board.note(period, 500.0 * period, True, False, 0.7)
-        board.roll(500.0 * period, 1)
+        board.record_answer(period, 500.0 * period, True, False, 0.7)
+        board.end_period(500.0 * period, 1)
     assert 0.0 < board.capacity < 2.0
 
 
 def test_nothing_is_cut_without_a_mark_and_no_previous_arrivals_divide_by_nothing() -> None:
     board = tiers(9, 1)
-    board.roll(0.0, 0)
-    assert board.cut == 2
+    board.end_period(0.0, 0)
+    assert board.boundary == 2
     board.capacity = 10.0
     board.arrived = [5, 50]
-    board._fill(0.0)
-    assert board.cut == 1 and board.share < 0.1
+    board._set_boundary(0.0)
+    assert board.boundary == 1 and board.boundary_share < 0.1
 
 
 def test_backlog_fills_first() -> None:
     board = tiers(9, 1)
     board.capacity, board.arrived = 10.0, [5, 5]
-    board._fill(20.0)
-    assert (board.cut, board.share) == (0, 0.0)
+    board._set_boundary(20.0)
+    assert (board.boundary, board.boundary_share) == (0, 0.0)
 
 
 def test_one_sick_host_sets_no_mark() -> None:
     """Guards against a cut of everybody for one host; fails if marks count the worst host's answers."""
     board = tiers(1)
     for n in range(40):
-        board.note(n % 4, 0.0, True, False, 0.2)
+        board.record_answer(n % 4, 0.0, True, False, 0.2)
     for _ in range(30):
-        board.note(9, 0.0, False, True, 2.0)
-    board.roll(0.0, 5)
+        board.record_answer(9, 0.0, False, True, 2.0)
+    board.end_period(0.0, 5)
     assert board.capacity == 0.0
 
 
@@ -115,15 +115,15 @@
     board = tiers(1)
     for n in range(40):
         board.admit(0)
-        board.note(n % 5, 0.0, n % 2 == 0, n % 2 == 1, 0.2)
-    board.roll(1000.0, 5)
+        board.record_answer(n % 5, 0.0, n % 2 == 0, n % 2 == 1, 0.2)
+    board.end_period(1000.0, 5)
     first = board.capacity
     assert first > 0
     for n in range(40):
         board.admit(0)
-        board.note(n % 4, 500.0, False, True, 0.2)
-    board.roll(1500.0, 5)
-    assert board.capacity >= first and board.marked_at == 1000.0
+        board.record_answer(n % 4, 500.0, False, True, 0.2)
+    board.end_period(1500.0, 5)
+    assert board.capacity >= first and board.overload_at == 1000.0
 
 
 def test_a_stall_of_departures_is_not_taken_for_capacity() -> None:
@@ -133,8 +133,8 @@
         overload(board, [100], 80, 10)
     for n in range(100):
         board.admit(0)
-        board.note(n % 4, 3000.0, False, True, 0.2)
-    board.roll(3000.0, 30)
+        board.record_answer(n % 4, 3000.0, False, True, 0.2)
+    board.end_period(3000.0, 30)
     assert board.capacity >= 50
 
 
@@ -151,10 +151,10 @@
     board = tiers(9, 1)
     for _ in range(3):
         overload(board, [20, 40], 20, 200)
-    assert board.cut < 2
+    assert board.boundary < 2
     for _ in range(12):
         overload(board, [2, 3], 5, 2)
-    assert board.cut == 2
+    assert board.boundary == 2
 
 
 WIDE = 40.0  # a spread at which an even share of the burst is far under one request
@@ -162,8 +162,8 @@
 
 def known_customer(level: float = 8.0, now: float = 1000.0, spread: float = 2.0) -> Customer:
     customer = new_customer(1, PLAN, spread, now, now)
-    customer.level = customer.counted_level = level
-    customer.window, customer.total_at, customer.window_phase = 0, now, 0.0
+    customer.level = customer.confirmed_level = level
+    customer.total_window, customer.total_at, customer.window_phase = 0, now, 0.0
     return customer
 
 
@@ -180,7 +180,7 @@
 def test_a_total_shows_what_others_took() -> None:
     customer = known_customer()
     customer.total = 10.0
-    quota.learn(customer, 1000.0, CounterCall(0, 1.0, 1.0), 14.0)
+    quota.apply_total(customer, 1000.0, CounterCall(0, 1.0, 1.0), 14.0)
     assert abs(customer.level - 5.0) < 0.01 and customer.total == 14.0
 
 
@@ -188,12 +188,12 @@
     """Case 5757: units sent beyond the quota elsewhere were booked as used, for seconds of refusals."""
     customer = known_customer(1.0)
     customer.total = 9.0
-    quota.learn(customer, 1000.0, CounterCall(0, 0.0, 0.0), 13.0)
+    quota.apply_total(customer, 1000.0, CounterCall(0, 0.0, 0.0), 13.0)
     assert customer.level == 0.0
-    quota.learn(customer, 1000.0, CounterCall(0, 0.0, 0.0), 9.0)
+    quota.apply_total(customer, 1000.0, CounterCall(0, 0.0, 0.0), 9.0)
     assert abs(customer.level - 1.0) < 0.1
-    quota.learn(customer, 1000.0, CounterCall(0, 0.0, 0.0), 13.0)
-    quota.learn(customer, 4000.0, CounterCall(0, 0.0, 0.0), 13.0)
+    quota.apply_total(customer, 1000.0, CounterCall(0, 0.0, 0.0), 13.0)
+    quota.apply_total(customer, 4000.0, CounterCall(0, 0.0, 0.0), 13.0)
     assert abs(customer.level - 6.0) < 0.1
 
 
@@ -201,8 +201,8 @@
     """A fresh window does not forget what this gateway saw of the last one."""
     customer = known_customer(1.0)
     customer.total_at = customer.window_ms
-    quota.learn(customer, customer.window_ms, CounterCall(1, 0.0, 0.0), 0.0)
-    assert customer.level <= 1.01 and customer.window == 1
+    quota.apply_total(customer, customer.window_ms, CounterCall(1, 0.0, 0.0), 0.0)
+    assert customer.level <= 1.01 and customer.total_window == 1
 
 
 @pytest.mark.parametrize("remembers", [False, True])
@@ -251,7 +251,10 @@
     drive = Drive(settings(), now=begins(8) + 100.0)
     call = of(drive.arrive(0, spread=WIDE)[1], it.Count)[0]
     read = of(drive.count(call, 1.0), it.Count)[0]
-    assert of(drive.count(read, 0.0, it.Outcome.TIMEOUT), it.Send) and drive.gate.customers[1].call is None
+    assert (
+        of(drive.count(read, 0.0, it.Outcome.TIMEOUT), it.Send)
+        and drive.gate.customers[1].pending_call is None
+    )
 
 
 @pytest.mark.parametrize(
@@ -421,7 +424,7 @@
         got = drive.arrive(0, customer=drive.serial + 1)[1]
         sent = len(of(got, it.Send))
     customer = drive.gate.customers[drive.serial]
-    assert customer.unreported == 1.0 and customer.call is None
+    assert customer.unreported == 1.0 and customer.pending_call is None
     drive.gate.calls.load.value = 0.0
     calls = [call for call in of(drive.run_for(600.0), it.Count) if call.name >> 30 == customer.key]
     assert [call.amount for call in calls] == [1.0]
@@ -521,7 +524,7 @@
 def test_lost_counts_hand_out_nothing() -> None:
     customer = known_customer(3.0)
     customer.total = 50.0
-    quota.learn(customer, 1000.0, CounterCall(0, 1.0, 1.0), 1.0)
+    quota.apply_total(customer, 1000.0, CounterCall(0, 1.0, 1.0), 1.0)
     assert customer.level == 3.0 and customer.total == 1.0
 
 
@@ -585,19 +588,22 @@
         outcome = it.Outcome.TIMEOUT if n % 30 == 29 else it.Outcome.OK
         drive.feed(it.CountAnswered(999 << 30, outcome, 1.0, 50.0 if n % 30 == 29 else 8.0))
         drive.now += 10.0
-        shares.append(drive.gate.calls.share(drive.now))
+        shares.append(drive.gate.calls.share_to_make(drive.now))
     assert min(shares[100:]) > 0.2 and sum(shares[100:]) / 200 > 0.75
     for _ in range(20):
         drive.feed(it.CountAnswered(999 << 30, it.Outcome.TIMEOUT, 0.0, 50.0))
-    assert drive.gate.calls.share(drive.now) < 0.1
+    assert drive.gate.calls.share_to_make(drive.now) < 0.1
 
 
 def test_calls_come_back_after_an_outage() -> None:
     """Guards against a counter left unused because its failures are remembered."""
     drive = Drive(settings())
-    drive.gate.calls.load.value, drive.gate.calls.load.at = FAILED_LOAD, drive.now  # every call has failed
-    assert drive.gate.calls.share(drive.now) < 0.1
-    assert drive.gate.calls.share(drive.now + 15_000.0) == 1.0
+    drive.gate.calls.load.value, drive.gate.calls.load.at = (
+        FAILED_CALL_LOAD,
+        drive.now,
+    )  # every call has failed
+    assert drive.gate.calls.share_to_make(drive.now) < 0.1
+    assert drive.gate.calls.share_to_make(drive.now + 15_000.0) == 1.0
 
 
 def test_units_of_a_try_refused_after_asking_are_given_back() -> None:
@@ -978,7 +984,7 @@
 
 def test_near_worths_are_told_apart() -> None:
     board = tiers(1.4, 1.3)
-    assert board.of(1.4) < board.of(1.3)
+    assert board.tier_of(1.4) < board.tier_of(1.3)
 
 
 def test_thinned_calls_do_not_chain_up_behind_one_that_is_out() -> None:
@@ -1010,20 +1016,20 @@
 def test_calls_go_where_they_teach_most() -> None:
     """A slow counter: a full store and fresh news need no call; an empty one and long silence do."""
     drive = Drive(settings())
-    customer = drive.gate.meter.customer(drive.now, it.Arrived(1, drive.now + 5000.0, 1, 0, 0, 1.0, 2.0))
-    customer.window, customer.total_at, customer.level = 0, drive.now, PLAN.burst
-    fresh = quota.news_weight(customer, drive.now, 1.0)
+    customer = drive.gate.meter.get_customer(drive.now, it.Arrived(1, drive.now + 5000.0, 1, 0, 0, 1.0, 2.0))
+    customer.total_window, customer.total_at, customer.level = 0, drive.now, PLAN.burst
+    fresh = quota.call_value(customer, drive.now, 1.0)
     customer.level = 0.0
-    spent = quota.news_weight(customer, drive.now, 1.0)
-    assert fresh < spent < quota.news_weight(customer, drive.now + 5000.0, 1.0) <= 1.0
+    spent = quota.call_value(customer, drive.now, 1.0)
+    assert fresh < spent < quota.call_value(customer, drive.now + 5000.0, 1.0) <= 1.0
 
 
 def test_units_to_give_back_weigh_a_call_with_nothing_and_break_nothing() -> None:
     """Two to give back, one asked and an empty store: the weights' sum was 0, and the request failed."""
     drive = Drive(settings(plans=(replace(PLAN, burst=4),)))
-    customer = drive.gate.meter.customer(drive.now, it.Arrived(1, drive.now + 5000.0, 1, 0, 0, 1.0, 2.0))
+    customer = drive.gate.meter.get_customer(drive.now, it.Arrived(1, drive.now + 5000.0, 1, 0, 0, 1.0, 2.0))
     customer.level, customer.unreported = 0.0, -2.0
-    assert quota.news_weight(customer, drive.now, 1.0) == 0.0
+    assert quota.call_value(customer, drive.now, 1.0) == 0.0
     number, got = drive.arrive(0)
     assert of(got, it.Count) or got == [it.Refuse(number)]
 
@@ -1046,8 +1052,8 @@
     board.capacity = 10.0
     for _ in range(20):
         board.admit(1, 0.2)
-    board._fill(0.0)
-    assert (board.cut, board.share) == (2, 1.0)
+    board._set_boundary(0.0)
+    assert (board.boundary, board.boundary_share) == (2, 1.0)
 
 
 def test_a_request_whose_client_left_while_it_waited_for_a_slot_is_not_sent_and_frees_none_twice() -> None:
@@ -1101,7 +1107,7 @@
     (call,) = of(got, it.Count)
     (send,) = of(drive.count(call, 9.0), it.Send)
     drive.end(send, it.Outcome.OK)
-    keep = drive.gate.customers[1].keep_ms
+    keep = drive.gate.customers[1].idle_timeout_ms
     assert PLAN.burst / PLAN.rate * 1000 < keep <= 30_000
     drive.run_for(keep - 2000.0)
     assert 1 in drive.gate.customers
--- a/tests/test_node_clients.py
+++ b/tests/test_node_clients.py
@@ -452,12 +452,12 @@
             for attempt in held:
                 start(attempt)
             (customer,) = node.module.customers.values()
-            while customer.call is not None or customer.waiting:
+            while customer.pending_call is not None or customer.waiting:
                 await asyncio.sleep(0.01)
             while len(node.requests) > (what == "another"):
                 await asyncio.sleep(0.01)
             assert world.hosts[0].commands.empty() and not node.module.open
-            total = totals.totals[b"%d" % units_name(customer.key, customer.window)]
+            total = totals.totals[b"%d" % units_name(customer.key, customer.total_window)]
             assert total + customer.unreported == (1 if what == "another" else 0)  # that one came to a host
 
     run(main())
--- a/tests/test_node_upgrade.py
+++ b/tests/test_node_upgrade.py
@@ -256,7 +256,7 @@
     state = json.loads(json.dumps(save_state(old.gate)))
     restore_state(new.gate, new.now, state)
     assert new.gate.customers[7].level == old.gate.customers[7].level
-    assert new.gate.customers[7].window == old.gate.customers[7].window
+    assert new.gate.customers[7].total_window == old.gate.customers[7].total_window
     assert new.gate.skipped() == 1
     assert not new.gate.ready(new.now)  # its list may be old
     assert new.gate.ready(new.now + 1000.0)
