--- a/rainturn/decisions/admission.py
+++ b/rainturn/decisions/admission.py
@@ -11,7 +11,7 @@
 MIN_ANSWERS = 4  # fewer answers prove nothing; they add up over periods
 MAX_QUEUE_SHARE = 0.4  # share of the target time that requests may take to depart; more means overload
 FEW_ANSWERS = 10  # up to this many, a long mean wait means overload too: the share of late ones says little
-MIN_CAPACITY_KEPT = 0.5  # an overload keeps at least this share: a stall of departures is not a capacity
+MIN_CAPACITY_KEPT = 0.5  # least share of capacity kept in an overload: a stall of departures is not capacity
 CAPACITY_GROWTH_STEP = 0.03  # increase, per period, of the capacity's growth: an old estimate is trusted less
 TIER_RATIO = 1.05  # worths within this ratio share a tier: chance differences are no order of worth
 
@@ -48,7 +48,8 @@
     def record_answer(self, host: int, sent_at: float, served: bool, bad: bool, wait: float) -> None:
         """Count an answer.
 
-        Attempts sent before the last overload show no new one: otherwise a backlog would refuse everything.
+        Attempts sent before the last overload are no evidence of another: otherwise a backlog would lead to
+        the refusal of all requests.
         """
         self.served += served
         self.answers.add(host, bad, wait, is_counted=sent_at >= self.overload_at)
--- a/rainturn/decisions/quota.py
+++ b/rainturn/decisions/quota.py
@@ -24,14 +24,14 @@
 
 
 def new_customer(key: int, plan: it.Plan, spread: float, now: float, started: float) -> Customer:
-    """Create a customer that a gateway started at `started` sees first; only an even share is surely free."""
+    """Create a newly seen customer with an even share of the quota: no more is known to be free."""
     customer = Customer(key, plan, spread, now)
     spread = customer.spread
     customer.level = customer.confirmed_level = plan.burst / spread
     customer.others_rate = plan.rate * (1.0 - 1.0 / spread)
     customer.fallback_slots = max(1, int(plan.parallel / spread))
     # A previous process may have spent the whole ceiling and its slack, and another may start at any time.
-    # Each process therefore starts with an empty ceiling bucket and refills it from there.
+    # Each process therefore starts with an empty ceiling bucket and refills it from its own start.
     customer.ceiling_rate = plan.ceiling_rate / spread / 1000.0
     customer.ceiling_level = (now - started) * customer.ceiling_rate
     return customer
--- a/tests/test_audit_clocks.py
+++ b/tests/test_audit_clocks.py
@@ -1,4 +1,4 @@
-"""Wall clocks that are stepped: our own before a start, a host's, and those of two processes."""
+"""Stepped wall clocks: the gateway's own before a start, a host's, and those of two processes."""
 
 from __future__ import annotations
 
@@ -7,17 +7,17 @@
 
 HOUR_MS = 3_600_000.0
 REQUESTS = 400
-FREE = it.Plan(price=1, rate=0, burst=0)
+UNLIMITED = it.Plan(price=1, rate=0, burst=0)
 
 
-def _drive(fleet: int = 4) -> Drive:
-    drive = Drive(settings(plans=(FREE,), counter=False), fleet=fleet, now=10 * HOUR_MS)
+def _gateway(fleet: int = 4) -> Drive:
+    drive = Drive(settings(plans=(UNLIMITED,), counter=False), fleet=fleet, now=10 * HOUR_MS)
     drive.feed(it.HostList(it.ListKind.FULL, hosts(fleet).entries))
     return drive
 
 
 def _share(drive: Drive, host: int) -> float:
-    """The part of many requests at once that goes to a host."""
+    """Return the share of many simultaneous requests that goes to a host."""
     sends = []
     for _ in range(REQUESTS):
         _, actions = drive.arrive()
@@ -31,32 +31,32 @@
     return it.HostEntry(host, host % 2, 0, it.HostState.READY, 1.0, started)
 
 
-def _changed(drive: Drive, entry: it.HostEntry) -> None:
+def _update(drive: Drive, entry: it.HostEntry) -> None:
     drive.feed(it.HostList(it.ListKind.DELTA, (entry,)))
 
 
-def test_a_host_that_has_just_started_is_cold_whatever_its_clock_says() -> None:
-    """Its start is news, so it is seconds old, though the wall clocks lie an hour apart."""
-    for told in (10 * HOUR_MS - HOUR_MS, 10 * HOUR_MS, 10 * HOUR_MS + HOUR_MS):
-        new, again = _drive(), _drive()
-        _changed(new, _entry(9, told))
-        assert _share(new, 9) < 0.12, told  # an even share is 0.2
-        _changed(again, _entry(1, 11 * HOUR_MS + told))
+def test_a_host_that_has_just_started_is_cold_whatever_its_clock_shows() -> None:
+    """A start that is new in the list happened seconds ago, although the wall clocks differ by an hour."""
+    for listed_start in (10 * HOUR_MS - HOUR_MS, 10 * HOUR_MS, 10 * HOUR_MS + HOUR_MS):
+        new, again = _gateway(), _gateway()
+        _update(new, _entry(9, listed_start))
+        assert _share(new, 9) < 0.12, listed_start  # an even share is 0.2
+        _update(again, _entry(1, 11 * HOUR_MS + listed_start))
         again.run_for(20_000)
-        _changed(again, _entry(1, told))  # started again, by a clock that was set back meanwhile
-        assert _share(again, 1) < 0.15, told  # an even share is 0.25
+        _update(again, _entry(1, listed_start))  # restarted, with a clock that was set back meanwhile
+        assert _share(again, 1) < 0.15, listed_start  # an even share is 0.25
 
 
-def test_a_host_is_warm_in_its_time_though_its_clock_is_ahead() -> None:
-    drive = _drive()
-    _changed(drive, _entry(9, drive.now + HOUR_MS))
+def test_a_host_becomes_warm_in_time_although_its_clock_is_ahead() -> None:
+    drive = _gateway()
+    _update(drive, _entry(9, drive.now + HOUR_MS))
     drive.run_for(settings().rules.warm_ms + 1000.0)
     assert _share(drive, 9) > 0.12
 
 
-def test_a_start_with_a_clock_that_was_set_forward_takes_the_newest_hosts_for_cold() -> None:
-    """Nothing tells a quiet hour from a clock an hour ahead: the hosts that started last may be cold."""
-    drive = Drive(settings(plans=(FREE,), counter=False), now=10 * HOUR_MS)
+def test_a_gateway_started_with_a_clock_set_forward_takes_the_newest_hosts_for_cold() -> None:
+    """A quiet hour and a clock that is an hour ahead look the same: the newest hosts may be cold."""
+    drive = Drive(settings(plans=(UNLIMITED,), counter=False), now=10 * HOUR_MS)
     entries = [_entry(host, 9 * HOUR_MS if host == 1 else 8 * HOUR_MS) for host in range(1, 6)]
     drive.feed(it.HostList(it.ListKind.FULL, tuple(entries)))
     assert _share(drive, 1) < 0.12
@@ -64,13 +64,13 @@
     assert _share(drive, 1) > 0.12
 
 
-def test_a_host_that_comes_back_to_the_list_with_the_start_it_had_is_as_warm_as_it_was() -> None:
-    """Discovery had lost sight of it for a moment; nothing started."""
-    drive = _drive()
-    _changed(drive, _entry(9, drive.now))
+def test_a_host_that_returns_to_the_list_with_its_old_start_stays_as_warm_as_it_was() -> None:
+    """Discovery had left the host out for a moment; the host did not restart."""
+    drive = _gateway()
+    _update(drive, _entry(9, drive.now))
     drive.run_for(settings().rules.warm_ms + 1000.0)
     before = drive.now
-    drive.feed(it.HostList(it.ListKind.FULL, hosts(4).entries))  # it is left out
+    drive.feed(it.HostList(it.ListKind.FULL, hosts(4).entries))  # without the host
     drive.run_for(1000.0)
-    _changed(drive, _entry(9, before - settings().rules.warm_ms - 1000.0))
+    _update(drive, _entry(9, before - settings().rules.warm_ms - 1000.0))
     assert _share(drive, 9) > 0.12
--- a/tests/test_audit_counter.py
+++ b/tests/test_audit_counter.py
@@ -1,4 +1,4 @@
-"""Clauses on the counter and on quotas: amounts, totals, and whose plan counts."""
+"""Totals and amounts exchanged with the counter, and the plan by which a request is metered."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from tests.helpers import PLAN, Drive, of, settings
 from tests.sockets import World, run, soon
 
-READABLE = {
+READABLE_TOTALS = {
     b"0.30000000000000004": 0.3,
     b"12.300000000000000710542735760100": 12.3,
     b"+5": 5.0,
@@ -22,8 +22,8 @@
 }
 
 
-def test_every_total_that_can_be_read_is_taken() -> None:
-    for text, value in READABLE.items():
+def test_every_readable_total_is_accepted() -> None:
+    for text, value in READABLE_TOTALS.items():
         found = total(b"$%d\r\n%s\r\n" % (len(text), text), 0)
         assert found is not None and found.total is not None
         assert abs(found.total - value) < 1e-9, text
@@ -44,8 +44,8 @@
     run(main())
 
 
-def test_the_plan_that_a_request_names_counts() -> None:
-    """Whatever an earlier request of the same number said, as a mistaken or malicious one may."""
+def test_a_request_is_metered_by_the_plan_that_it_names() -> None:
+    """An earlier request of the same customer may have named another plan, by mistake or malice."""
     small, large = it.Plan(price=1, rate=2, burst=8), it.Plan(price=1, rate=1000, burst=1000)
     for counter in (False, True):
         for first, then in ((0, 1), (1, 0)):
@@ -69,7 +69,7 @@
             assert sent <= 9 if then == 0 else sent == 60, (counter, first, sent)
 
 
-def test_requests_that_wait_are_decided_when_another_plan_is_named() -> None:
+def test_waiting_requests_are_decided_when_a_later_one_names_another_plan() -> None:
     drive = Drive(settings(plans=(PLAN, it.Plan(price=1, rate=1000, burst=1000))))
     waiting, actions = drive.arrive(plan=0)
     assert of(actions, it.Count)
--- a/tests/test_counter_corrections.py
+++ b/tests/test_counter_corrections.py
@@ -1,4 +1,4 @@
-"""Corrections of a customer's shared count, where many gateways see that it is off in the same moment."""
+"""Corrections of a customer's shared count when many gateways find it wrong at the same time."""
 
 from __future__ import annotations
 
@@ -9,11 +9,11 @@
 from rainturn import interface as it
 from tests.helpers import Drive, of, settings
 
-ROUNDS = 10  # of calls and answers; what has not settled by then does not settle
+MAX_ROUNDS = 10  # of calls and answers; a count that has not settled by then never does
 
 
-class Counter:
-    """Adds all calls of a round before any of their answers is taken in."""
+class FakeCounter:
+    """A counter that adds all calls of a round before it delivers any of their answers."""
 
     def __init__(self, drives: list[Drive]) -> None:
         self.drives = drives
@@ -24,8 +24,8 @@
         self.calls += [(drive, call) for call in of(actions, it.Count)]
 
     def settle(self) -> None:
-        """Answer calls, and those that follow from the answers, round by round."""
-        for _ in range(ROUNDS):
+        """Answer the calls, and those that follow from the answers, in rounds."""
+        for _ in range(MAX_ROUNDS):
             calls, self.calls = self.calls, []
             answers = []
             for drive, call in calls:
@@ -35,7 +35,7 @@
                 self.collect(drive, drive.count(call, total))
 
     def settle_in_any_order(self, rng: random.Random) -> None:
-        """Add calls and hand out answers one by one, in an order that `rng` draws, until none is left."""
+        """Add calls and deliver answers one by one, in an order drawn by `rng`, until none is left."""
         answers: list[tuple[Drive, it.Count, float]] = []
         while self.calls or answers:
             chosen = rng.randrange(len(self.calls) + len(answers))
@@ -48,37 +48,37 @@
                 self.collect(drive, drive.count(call, total))
 
 
-def _all_ask_at_once(gateways: int, plan: it.Plan, window_age: float) -> tuple[list[Drive], Counter]:
-    """Gateways that all get a request of the same unknown customer in the same moment, not answered yet."""
+def _request_at_once(gateways: int, plan: it.Plan, window_age: float) -> tuple[list[Drive], FakeCounter]:
+    """Return gateways that each received a request of the same unknown customer at the same time."""
     drives = [
         Drive(settings(gateway=number, gateways=gateways, plans=(plan,)), now=100_000.0 + window_age)
         for number in range(gateways)
     ]
-    counter = Counter(drives)
+    counter = FakeCounter(drives)
     for drive in drives:
         counter.collect(drive, drive.arrive(spread=float(gateways))[1])
     return drives, counter
 
 
-def _first_seen_at_once(gateways: int, plan: it.Plan, window_age: float) -> tuple[list[Drive], Counter]:
-    """The same, with all calls and answers in rounds until none is left or it does not settle."""
-    drives, counter = _all_ask_at_once(gateways, plan, window_age)
+def _settle_requests(gateways: int, plan: it.Plan, window_age: float) -> tuple[list[Drive], FakeCounter]:
+    """Do the same, then settle the calls and answers in rounds."""
+    drives, counter = _request_at_once(gateways, plan, window_age)
     counter.settle()
     return drives, counter
 
 
 @pytest.mark.parametrize("gateways", [1, 2, 3, 4])
-def test_a_count_that_few_gateways_correct_at_once_shows_no_more_than_a_full_store(gateways: int) -> None:
+def test_a_count_that_few_gateways_correct_at_once_stays_within_a_full_bucket(gateways: int) -> None:
     plan = it.Plan(price=1, rate=1000, burst=1000)
-    _, counter = _first_seen_at_once(gateways, plan, 1500.0)
+    _, counter = _settle_requests(gateways, plan, 1500.0)
     assert max(abs(total) for total in counter.totals.values()) <= 2 * plan.burst + plan.rate * 3.0
 
 
 def test_a_count_that_twenty_gateways_correct_at_once_settles() -> None:
-    """Each takes the others' corrections for a new error: the count must come to rest, near the truth."""
+    """Guards against a count that never settles, as each gateway takes others' corrections for new errors."""
     plan = it.Plan(price=1, rate=1000, burst=1000)
-    drives, counter = _first_seen_at_once(20, plan, 1500.0)
-    assert not counter.calls, "still correcting after so many rounds"
+    drives, counter = _settle_requests(20, plan, 1500.0)
+    assert not counter.calls, "corrections still pending after the last round"
     assert max(abs(total) for total in counter.totals.values()) <= 2 * plan.burst + plan.rate * 3.0
     assert all(of(drive.arrive(spread=20.0)[1], it.Refuse) == [] for drive in drives)
 
@@ -86,8 +86,8 @@
 @pytest.mark.parametrize("gateways", [2, 6, 12, 20, 40])
 @pytest.mark.parametrize("seed", range(4))
 def test_corrections_settle_in_any_order_of_calls_and_answers(gateways: int, seed: int) -> None:
-    """A correction that is taken back makes the count fall: that is no loss of counts."""
+    """Guards against taking the fall of a count by a withdrawn correction for a loss of counts."""
     plan = it.Plan(price=1, rate=1000, burst=1000)
-    _, counter = _all_ask_at_once(gateways, plan, 1500.0)
+    _, counter = _request_at_once(gateways, plan, 1500.0)
     counter.settle_in_any_order(random.Random(seed))
     assert max(abs(total) for total in counter.totals.values()) <= 2 * plan.burst + plan.rate * 3.0
--- a/tests/test_policy_size.py
+++ b/tests/test_policy_size.py
@@ -1,4 +1,4 @@
-"""The decision module's size: the files that the deploy file names under `policy`."""
+"""Size and imports of the decision module: the files that the deploy file names under `policy`."""
 
 from __future__ import annotations
 
@@ -7,13 +7,13 @@
 from pathlib import Path
 
 ROOT = Path(__file__).parent.parent
-MOST_LINES = 1200  # non-blank ones, comments too, in all files together
+MAX_LINES = 1200  # non-blank lines of all files together, comments included
 
 
 def test_the_policy_files_hold_at_most_1200_non_blank_lines_together() -> None:
     deploy = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())
     lines = {path: sum(bool(line.strip()) for line in (ROOT / path).open()) for path in deploy["policy"]}
-    assert sum(lines.values()) <= MOST_LINES, lines
+    assert sum(lines.values()) <= MAX_LINES, lines
 
 
 def test_every_file_of_the_decisions_is_named_under_policy() -> None:
@@ -23,7 +23,7 @@
 
 
 def test_the_decisions_import_downwards_only() -> None:
-    """No cycles: each file imports only those before it, and nothing that is built on the decisions."""
+    """Each file imports only files before it in the order, and nothing that depends on the decisions."""
     order = ["admission", "hosts", "quota", "attempts", "slots", "metering", "gateway", "__init__"]
     folder = ROOT / "rainturn" / "decisions"
     for position, name in enumerate(order):
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -1,4 +1,4 @@
-"""Random event sequences against a judge of the five rules that knows only events and actions."""
+"""Random event sequences, checked against the five rules by events and actions alone."""
 
 from __future__ import annotations
 
@@ -14,51 +14,51 @@
 from rainturn.decisions import Gateway
 from tests.helpers import LIMITS, Drive, of, settings
 
-UNRUN = (it.Outcome.FULL, it.Outcome.UNREACHABLE, it.Outcome.MOOT)
+NEVER_RAN = (it.Outcome.FULL, it.Outcome.UNREACHABLE, it.Outcome.MOOT)
 CEILED = it.Plan(price=1, rate=50, burst=50, ceiling_rate=5, ceiling_burst=10, ceiling_slack=1)
 
 
 @dataclass
-class Open:
-    """A request as the judge sees it."""
+class OpenRequest:
+    """An open request, as events and actions show it."""
 
     arrived: it.Arrived
     sends: list[tuple[int, float]] = field(default_factory=list)
     state: dict[int, str] = field(default_factory=dict)  # attempt -> out, maybe, unrun
 
 
-class Judge:
-    """Feeds a gateway and checks each action."""
+class RuleChecker:
+    """Feeds events to a gateway and checks each of its actions."""
 
     def __init__(self, config: it.Settings) -> None:
         self.config, self.now = config, 50_000.0
         self.gate = Gateway(config, 3)
-        self.open: dict[int, Open] = {}
+        self.open: dict[int, OpenRequest] = {}
         self.out: list[tuple[int, int]] = []
         self.calls: list[it.Count] = []
         self.hosts: dict[int, it.HostEntry] = {}
         self.cold_sends: dict[int, list[float]] = {}
-        self.firsts: list[float] = []
+        self.first_sends: list[float] = []
         self.serial = 0
 
     def feed(self, event: it.Event) -> None:
         for action in self.gate.handle(self.now, event):
-            self.judge(action)
+            self.check(action)
 
-    def judge(self, action: it.Action) -> None:
+    def check(self, action: it.Action) -> None:
         if isinstance(action, it.Send):
-            self.sent(action)
+            self.check_send(action)
         elif isinstance(action, it.Count):
             self.calls.append(action)
         elif isinstance(action, it.Refuse | it.Fail):
-            req = self.open.pop(action.request)  # a KeyError is a second answer: rule 1
+            req = self.open.pop(action.request)  # a KeyError means a second answer: rule 1
             klass = self.config.classes[req.arrived.request_class]
             ran = [n for n, s in req.state.items() if s != "unrun"]
             if isinstance(action, it.Refuse) and klass.effect is not it.Effect.SAFE:
                 assert not ran, "rule 2: refused though it may have run"
 
-    def sent(self, action: it.Send) -> None:
-        req = self.open[action.request]  # a KeyError is a send after the end: rule 1
+    def check_send(self, action: it.Send) -> None:
+        req = self.open[action.request]  # a KeyError means a send after the final answer: rule 1
         entry = self.hosts[action.host]
         assert entry.state is it.HostState.READY, "rule 3"
         klass = self.config.classes[req.arrived.request_class]
@@ -71,7 +71,7 @@
             host, at = req.sends[ran[0]]
             assert self.hosts[host].zone == entry.zone and self.now <= at + klass.window_ms, "rule 2"
         if not req.sends:
-            self.firsts.append(self.now)
+            self.first_sends.append(self.now)
         if entry.started and self.now - entry.started < self.config.rules.warm_ms:
             self.cold_sends.setdefault(entry.host, []).append(self.now)
         req.state[len(req.sends)] = "out"
@@ -82,7 +82,7 @@
         if kind <= 3:
             self.serial += 1
             event = it.Arrived(self.serial, self.now + 1000 + 40 * pick, pick % 5, 0, pick % 3, 1.0, 2.0)
-            self.open[self.serial] = Open(event)
+            self.open[self.serial] = OpenRequest(event)
             self.feed(event)
         elif kind <= 6 and self.out:
             self.finish(self.out.pop(pick % len(self.out)), list(it.Outcome)[pick % len(it.Outcome)])
@@ -102,7 +102,7 @@
         req = self.open.get(number)
         host = req.sends[n][0] if req else 1
         if req:
-            req.state[n] = "unrun" if outcome in UNRUN else "maybe"
+            req.state[n] = "unrun" if outcome in NEVER_RAN else "maybe"
         final = req is None or outcome is it.Outcome.OK
         if final and req:
             del self.open[number]
@@ -122,11 +122,11 @@
             self.feed(it.TimerFired(0))
 
     def check_ceiling(self, plan: it.Plan, customers: int) -> None:
-        """Rule 5: this gateway's half of the stores of all customers together, in every stretch."""
-        for i, start in enumerate(self.firsts):
-            for j in range(i, len(self.firsts)):
+        """Check rule 5: in every interval, at most this gateway's half of all customers' ceilings is sent."""
+        for i, start in enumerate(self.first_sends):
+            for j in range(i, len(self.first_sends)):
                 most = customers * ((plan.ceiling_burst + plan.ceiling_slack) / 2 + 1)
-                filled = customers * plan.ceiling_rate / 2000 * (self.firsts[j] - start)
+                filled = customers * plan.ceiling_rate / 2000 * (self.first_sends[j] - start)
                 assert j - i + 1 <= most + filled, "rule 5"
 
 
@@ -140,16 +140,16 @@
 )
 
 
-def play(config: it.Settings, steps: list[tuple[int, int]]) -> Judge:
-    judge = Judge(config)
+def play(config: it.Settings, steps: list[tuple[int, int]]) -> RuleChecker:
+    checker = RuleChecker(config)
     for host in range(1, 5):
-        judge.hosts[host] = it.HostEntry(host, host % 2, 0, it.HostState.READY)
-    judge.feed(it.HostList(it.ListKind.CACHED, tuple(judge.hosts.values())))
+        checker.hosts[host] = it.HostEntry(host, host % 2, 0, it.HostState.READY)
+    checker.feed(it.HostList(it.ListKind.CACHED, tuple(checker.hosts.values())))
     for kind, pick in steps:
-        judge.step(kind, pick)
-    judge.pass_time(6000.0)
-    assert not judge.open, "rule 1"
-    return judge
+        checker.step(kind, pick)
+    checker.pass_time(6000.0)
+    assert not checker.open, "rule 1"
+    return checker
 
 
 @QUICK
@@ -170,10 +170,10 @@
     play(settings(plans=(CEILED,)), steps).check_ceiling(CEILED, 5)
 
 
-def test_rule_four_cold_hosts_and_hundreds_of_gateways() -> None:
-    """However many gateways there are, a cold host gets no more than its present part of an even share.
+def test_rule_four_limits_a_cold_host_for_hundreds_of_gateways_together() -> None:
+    """A cold host gets at most its current part of an even share, however many gateways there are.
 
-    Fails when each gateway may send once, or when held requests draw again at every look.
+    Guards against each gateway sending one request, and against held requests that draw at every look.
     """
     cold = 0
     count = 300
@@ -190,7 +190,7 @@
 
 
 def test_rule_four_a_cold_fleet_is_not_flooded_by_held_requests() -> None:
-    """All hosts cold, requests held: each request draws once, however often it looks for a host."""
+    """All hosts are cold and requests are held: each draws once, however often it looks for a host."""
     gate = Gateway(settings(plans=(), counter=False), 5)
     now = 50_000.0
     entries = tuple(it.HostEntry(n, 0, 0, it.HostState.READY, 1.0, now) for n in range(1, 11))
@@ -206,16 +206,16 @@
 
 @pytest.mark.parametrize("gateways", [3, 24, 200])
 @pytest.mark.parametrize("sizes", [(1.0,), (1.0, 0.25)])
-def test_rule_four_holds_for_the_sum_of_what_unequal_gateways_send(
-    gateways: int, sizes: tuple[float, ...]
-) -> None:
-    """Unequal traffic as much as all hosts can do, a third of them cold one after another, attempts that fail
-    and are repeated, and gateways that start anew: no span holds more than the budget and chance.
+def test_rule_four_holds_for_unequal_gateways_together(gateways: int, sizes: tuple[float, ...]) -> None:
+    """A cold host gets no more than its budget, with a margin for chance, in any span of the fall rule.
+
+    The traffic is unequal and uses all capacity, a third of the hosts start one after another, attempts fail
+    and are repeated, and gateways restart.
     """
     rng, hosts, now, serial = random.Random(7), 12, 1_000_000.0, 0
     config = settings(gateways=gateways, plans=(), counter=False, sizes_told=True)
     rules = config.rules
-    rate = 20.0 / 1000  # what a warm host of size 1 can do, requests a ms
+    rate = 20.0 / 1000  # capacity of a warm host of size 1, requests per ms
     size = {n: sizes[n % len(sizes)] for n in range(hosts)}
     born = {n: now + 700.0 * n if n % 3 == 0 else 0.0 for n in range(hosts)}
     traffic = [rng.expovariate(1.0) for _ in range(gateways)]
@@ -223,14 +223,14 @@
     sent: dict[int, list[float]] = {n: [] for n in born if born[n]}
     repeats = 0
 
-    def act(gate: Gateway, actions: list[it.Action]) -> None:
+    def handle_actions(gate: Gateway, actions: list[it.Action]) -> None:
         nonlocal repeats
         for send in [a for a in actions if isinstance(a, it.Send)]:
             if send.host - 1 in sent:
                 sent[send.host - 1].append(now)
             failed = rng.random() < 0.2
             repeats += failed
-            act(
+            handle_actions(
                 gate,
                 gate.handle(
                     now,
@@ -245,7 +245,7 @@
                 ),
             )
 
-    def listed() -> it.HostList:
+    def host_list() -> it.HostList:
         return it.HostList(
             it.ListKind.FULL,
             tuple(
@@ -261,47 +261,49 @@
         for n in sent:
             if now - 20.0 < born[n] <= now:
                 for gate in gates.values():
-                    gate.handle(now, listed())
+                    gate.handle(now, host_list())
         number = rng.choices(range(gateways), traffic)[0]
         if number not in gates or rng.random() < 0.001:
             gates[number] = Gateway(config, serial)
-            gates[number].handle(now, listed())
+            gates[number].handle(now, host_list())
         serial += 1
-        act(gates[number], gates[number].handle(now, it.TimerFired(0)))
-        act(gates[number], gates[number].handle(now, it.Arrived(serial, now + 5000.0, serial, 0, 0)))
+        handle_actions(gates[number], gates[number].handle(now, it.TimerFired(0)))
+        handle_actions(
+            gates[number], gates[number].handle(now, it.Arrived(serial, now + 5000.0, serial, 0, 0))
+        )
     assert repeats > 100
     for n, times in sent.items():
         assert times
         for i, at in enumerate(times):
             if at + rules.fall_ms > born[n] + rules.warm_ms:
-                break  # it is warm by then
+                break  # the host is warm by then
             warmth = rules.cold_share + (1 - rules.cold_share) * (at - born[n]) / rules.warm_ms
             budget = rules.fall_multiple * warmth * rate * size[n] * rules.fall_ms
             here = sum(at <= later < at + rules.fall_ms for later in times[i:])
             assert here <= budget + 2 * budget**0.5 + 2, (n, at - born[n], here, budget)
 
 
-def test_rule_five_holds_however_often_a_gateway_starts_again() -> None:
-    """The store is the customer's: a process that starts anew finds it as it stands, and knows nothing."""
+def test_rule_five_holds_however_often_a_gateway_restarts() -> None:
+    """The ceiling belongs to the customer: its level outlives a process, and a new one does not know it."""
     plan = it.Plan(price=1, rate=50, burst=50, ceiling_rate=4, ceiling_burst=8, ceiling_slack=1)
     config = settings(plans=(plan,), counter=False, gateways=1)
-    store, filled_at, now = plan.ceiling_burst, 100_000.0, 100_000.0
+    level, filled_at, now = plan.ceiling_burst, 100_000.0, 100_000.0
 
-    def press(drive: Drive, requests: int) -> None:
-        """As many requests at once; each unit that is sent on comes out of the store."""
-        nonlocal store, filled_at
-        store = min(plan.ceiling_burst, store + plan.ceiling_rate * (drive.now - filled_at) / 1000)
+    def send_burst(drive: Drive, requests: int) -> None:
+        """Send requests at once; each one that is sent on takes a unit from the bucket."""
+        nonlocal level, filled_at
+        level = min(plan.ceiling_burst, level + plan.ceiling_rate * (drive.now - filled_at) / 1000)
         filled_at = drive.now
         for _ in range(requests):
-            store -= len(of(drive.arrive(spread=1.0)[1], it.Send))
-        assert store >= -plan.ceiling_slack
+            level -= len(of(drive.arrive(spread=1.0)[1], it.Send))
+        assert level >= -plan.ceiling_slack
 
     drive = Drive(config, now=now)
-    press(drive, 1)
-    drive.run_for(10_000)  # its part fills up
-    press(drive, 20)
+    send_burst(drive, 1)
+    drive.run_for(10_000)  # the gateway's share refills
+    send_burst(drive, 20)
     for _ in range(5):
         drive = Drive(config, now=drive.now + 50.0)
-        press(drive, 20)
+        send_burst(drive, 20)
     drive.run_for(2000)
-    press(drive, 20)
+    send_burst(drive, 20)
