--- a/rainturn/decisions/admission.py
+++ b/rainturn/decisions/admission.py
@@ -78,8 +78,8 @@
         total, wait = total + overdue, wait + overdue
         self.periods += 1
         self.mean_served += max(0.3, 1 / self.periods) * (served - self.mean_served)
-        usual = max(self.mean_served, served) * self.max_queue_periods
-        backlog = out - usual - 2 * math.sqrt(usual)  # a few requests gather by chance
+        expected_queue = max(self.mean_served, served) * self.max_queue_periods
+        backlog = out - expected_queue - 2 * math.sqrt(expected_queue)  # a few requests gather by chance
         others = total - worst.total
         many_bad = bad - worst.bad >= OVERLOAD_BAD_SHARE * others
         long_wait = total <= FEW_ANSWERS and wait - worst.wait >= MAX_QUEUE_SHARE * others
@@ -89,10 +89,10 @@
             self.overload_at, self.growth = now, 0.0
         elif self.capacity:
             # Capacity rises by the share of requests that were answered since, and faster with quick answers.
-            proof = (total - overdue) / (total - overdue + out) if out else 1.0
-            proof *= max(0.0, 3 - 3 * wait / (MAX_QUEUE_SHARE * total)) if total else 1.0
+            evidence = (total - overdue) / (total - overdue + out) if out else 1.0
+            evidence *= max(0.0, 3 - 3 * wait / (MAX_QUEUE_SHARE * total)) if total else 1.0
             self.growth += CAPACITY_GROWTH_STEP
-            self.capacity *= 1 + proof * self.growth
+            self.capacity *= 1 + evidence * self.growth
         if total >= MIN_ANSWERS or now == self.overload_at:
             self.answers.clear()
         self._set_boundary(max(0.0, out - self.capacity * self.max_queue_periods))
--- a/rainturn/decisions/quota.py
+++ b/rainturn/decisions/quota.py
@@ -62,7 +62,7 @@
     by_window = min(plan.burst, max(0.0, plan.burst + plan.rate * age / 1000 - total + call.requested))
     since, previous, base = now - age, 0.0, plan.burst
     same_window = call.window == customer.total_window
-    # In a new window, the last total still tells what its own window left.
+    # In a new window, a recent total still shows the level that its own window left.
     is_recent = now - age - customer.total_at < customer.window_ms / 2
     if same_window:
         since, previous, base = customer.total_at, customer.total, customer.confirmed_level
@@ -112,19 +112,19 @@
     the count, and finds no use in a window that began before the loss, restores half a bucket, as the bucket
     may have been full or empty.
     """
-    plan, rest, age = customer.plan, total - call.amount, customer.window_age(now, call.window)
+    plan, before_call, age = customer.plan, total - call.amount, customer.window_age(now, call.window)
     if call.window == customer.total_window:
         empty = plan.burst + plan.rate * age / 1000
         # Guards against mistaking corrections that several gateways made at once, and that are withdrawn, for
         # lost counts: no more than the count of an empty bucket can have been lost.
         held = min(customer.total, empty)
-        fallen = held - rest
+        fallen = held - before_call
         if fallen < max(2.0, plan.burst / 2, 0.0 if loss_known else held / 2):
             return 0.0
-        return max(fallen, min(held, empty - rest) if rest < held / 4 else 0.0)
+        return max(fallen, min(held, empty - before_call) if before_call < held / 4 else 0.0)
     full = plan.rate * (age - (now - fall_seen_at)) / 1000  # a full bucket's count at the time of the loss
-    known = full > 0.0 and rest < full - MIN_CORRECTION_SHARE * plan.burst
-    return full + plan.burst / 2 - rest if known else 0.0
+    known = full > 0.0 and before_call < full - MIN_CORRECTION_SHARE * plan.burst
+    return full + plan.burst / 2 - before_call if known else 0.0
 
 
 def reconcile(customer: Customer, now: float, call: CounterCall, total: float) -> None:
