--- a/rainturn/decisions/attempts.py
+++ b/rainturn/decisions/attempts.py
@@ -63,10 +63,10 @@
         """
         customer = request.customer
         if customer is not None and customer.plan.ceiling_rate:
-            quota.advance(customer, now)
-            if customer.ceiling < request.units:
+            quota.refill_buckets(customer, now)
+            if customer.ceiling_level < request.units:
                 return False
-            customer.ceiling -= request.units
+            customer.ceiling_level -= request.units
         return True
 
     def _enqueue(self, now: float, request: PendingRequest) -> None:
--- a/tests/test_module.py
+++ b/tests/test_module.py
@@ -14,8 +14,8 @@
 
 from rainturn import interface as it
 from rainturn.decisions import Gateway, quota
-from rainturn.decisions.admission import TARGET, Tiers
-from rainturn.decisions.quota import FAILED_LOAD, new_customer
+from rainturn.decisions.admission import MAX_UTILIZATION, Tiers
+from rainturn.decisions.quota import FAILED_CALL_LOAD, new_customer
 from rainturn.records import CounterCall, Customer
 from tests.helpers import KEYED, LIMITS, PLAN, SAFE, UNSAFE, Drive, hosts, of, settings
 
@@ -32,26 +32,26 @@
         for _ in range(count):
             board.admit(tier)
     for n in range(served):
-        board.note(n % 3, now, True, False, 0.2)
-    board.roll(now, out)
+        board.record_answer(n % 3, now, True, False, 0.2)
+    board.end_period(now, out)
 
 
 def test_worths_within_a_band_share_a_tier() -> None:
     board = tiers(10, 9.8, 5, 1)
-    assert [board.of(w) for w in (10, 9.8, 5, 1, 0.1)] == [0, 0, 1, 2, 2]
+    assert [board.tier_of(w) for w in (10, 9.8, 5, 1, 0.1)] == [0, 0, 1, 2, 2]
 
 
 def test_tiers_fill_from_the_top_and_the_boundary_tier_is_admitted_in_part() -> None:
     board = tiers(9, 3, 1)
     for _ in range(4):
         run_period(board, [10, 20, 30], 40, 40)
-    board.roll(0.0, 0)
+    board.end_period(0.0, 0)
     run_period(board, [10, 20, 30], 40, 300)
     assert board.capacity > 0
     board.capacity = 40.0
     board.arrived = [10, 40, 30]
-    board._fill(0.0)
-    assert board.cut == 1 and abs(board.share - (TARGET * 40 - 10) / 40) < 1e-6
+    board._set_boundary(0.0)
+    assert board.boundary == 1 and abs(board.boundary_share - (MAX_UTILIZATION * 40 - 10) / 40) < 1e-6
     assert all(board.admit(0) for _ in range(10)) and not any(board.admit(2) for _ in range(30))
     assert 25 <= sum(board.admit(1) for _ in range(40)) <= 27
     assert sum(board.admit(1) for _ in range(400)) <= 2, "a surge within the period gets no further budget"
@@ -62,7 +62,7 @@
     board = tiers(9, 1)
     passed = 0
     for _ in range(400):
-        board.cut, board.share, board.budget = 1, 0.25, 0.25
+        board.boundary, board.boundary_share, board.budget = 1, 0.25, 0.25
         passed += board.admit(1)
     assert 90 <= passed <= 110
 
@@ -72,41 +72,41 @@
     board = tiers(1)
     for period in range(12):
         board.admit(0)
-        board.note(period, 500.0 * period, True, period == 5, 1.5 if period == 5 else 0.2)
-        board.roll(500.0 * period, 1)
+        board.record_answer(period, 500.0 * period, True, period == 5, 1.5 if period == 5 else 0.2)
+        board.end_period(500.0 * period, 1)
     assert board.capacity == 0.0
     for period in range(12, 18):
         board.admit(0)
-        board.note(period, 500.0 * period, True, False, 0.7)
-        board.roll(500.0 * period, 1)
+        board.record_answer(period, 500.0 * period, True, False, 0.7)
+        board.end_period(500.0 * period, 1)
     assert 0.0 < board.capacity < 2.0
 
 
 def test_all_tiers_pass_without_an_overload_mark_and_no_arrivals_cause_no_division_by_zero() -> None:
     board = tiers(9, 1)
-    board.roll(0.0, 0)
-    assert board.cut == 2
+    board.end_period(0.0, 0)
+    assert board.boundary == 2
     board.capacity = 10.0
     board.arrived = [5, 50]
-    board._fill(0.0)
-    assert board.cut == 1 and board.share < 0.1
+    board._set_boundary(0.0)
+    assert board.boundary == 1 and board.boundary_share < 0.1
 
 
 def test_backlog_takes_capacity_before_new_requests() -> None:
     board = tiers(9, 1)
     board.capacity, board.arrived = 10.0, [5, 5]
-    board._fill(20.0)
-    assert (board.cut, board.share) == (0, 0.0)
+    board._set_boundary(20.0)
+    assert (board.boundary, board.boundary_share) == (0, 0.0)
 
 
 def test_one_failing_host_is_no_overload() -> None:
     """Guards against refusing all customers because of one host; fails if its answers mark an overload."""
     board = tiers(1)
     for n in range(40):
-        board.note(n % 4, 0.0, True, False, 0.2)
+        board.record_answer(n % 4, 0.0, True, False, 0.2)
     for _ in range(30):
-        board.note(9, 0.0, False, True, 2.0)
-    board.roll(0.0, 5)
+        board.record_answer(9, 0.0, False, True, 2.0)
+    board.end_period(0.0, 5)
     assert board.capacity == 0.0
 
 
@@ -115,15 +115,15 @@
     board = tiers(1)
     for n in range(40):
         board.admit(0)
-        board.note(n % 5, 0.0, n % 2 == 0, n % 2 == 1, 0.2)
-    board.roll(1000.0, 5)
+        board.record_answer(n % 5, 0.0, n % 2 == 0, n % 2 == 1, 0.2)
+    board.end_period(1000.0, 5)
     first = board.capacity
     assert first > 0
     for n in range(40):
         board.admit(0)
-        board.note(n % 4, 500.0, False, True, 0.2)
-    board.roll(1500.0, 5)
-    assert board.capacity >= first and board.marked_at == 1000.0
+        board.record_answer(n % 4, 500.0, False, True, 0.2)
+    board.end_period(1500.0, 5)
+    assert board.capacity >= first and board.overload_at == 1000.0
 
 
 def test_a_pause_in_answers_is_not_taken_for_low_capacity() -> None:
@@ -133,8 +133,8 @@
         run_period(board, [100], 80, 10)
     for n in range(100):
         board.admit(0)
-        board.note(n % 4, 3000.0, False, True, 0.2)
-    board.roll(3000.0, 30)
+        board.record_answer(n % 4, 3000.0, False, True, 0.2)
+    board.end_period(3000.0, 30)
     assert board.capacity >= 50
 
 
@@ -151,10 +151,10 @@
     board = tiers(9, 1)
     for _ in range(3):
         run_period(board, [20, 40], 20, 200)
-    assert board.cut < 2
+    assert board.boundary < 2
     for _ in range(12):
         run_period(board, [2, 3], 5, 2)
-    assert board.cut == 2
+    assert board.boundary == 2
 
 
 WIDE_SPREAD = 40.0  # a spread at which an even share of the burst is far below one request
@@ -162,8 +162,8 @@
 
 def known_customer(level: float = 8.0, now: float = 1000.0, spread: float = 2.0) -> Customer:
     customer = new_customer(1, PLAN, spread, now, now)
-    customer.level = customer.counted_level = level
-    customer.window, customer.total_at, customer.window_phase = 0, now, 0.0
+    customer.level = customer.confirmed_level = level
+    customer.total_window, customer.total_at, customer.window_phase = 0, now, 0.0
     return customer
 
 
@@ -180,7 +180,7 @@
 def test_a_total_shows_the_units_that_others_took() -> None:
     customer = known_customer()
     customer.total = 10.0
-    quota.learn(customer, 1000.0, CounterCall(0, 1.0, 1.0), 14.0)
+    quota.apply_total(customer, 1000.0, CounterCall(0, 1.0, 1.0), 14.0)
     assert abs(customer.level - 5.0) < 0.01 and customer.total == 14.0
 
 
@@ -191,12 +191,12 @@
     """
     customer = known_customer(1.0)
     customer.total = 9.0
-    quota.learn(customer, 1000.0, CounterCall(0, 0.0, 0.0), 13.0)
+    quota.apply_total(customer, 1000.0, CounterCall(0, 0.0, 0.0), 13.0)
     assert customer.level == 0.0
-    quota.learn(customer, 1000.0, CounterCall(0, 0.0, 0.0), 9.0)
+    quota.apply_total(customer, 1000.0, CounterCall(0, 0.0, 0.0), 9.0)
     assert abs(customer.level - 1.0) < 0.1
-    quota.learn(customer, 1000.0, CounterCall(0, 0.0, 0.0), 13.0)
-    quota.learn(customer, 4000.0, CounterCall(0, 0.0, 0.0), 13.0)
+    quota.apply_total(customer, 1000.0, CounterCall(0, 0.0, 0.0), 13.0)
+    quota.apply_total(customer, 4000.0, CounterCall(0, 0.0, 0.0), 13.0)
     assert abs(customer.level - 6.0) < 0.1
 
 
@@ -204,8 +204,8 @@
     """Guards against a new window that starts full although this gateway saw the last one used up."""
     customer = known_customer(1.0)
     customer.total_at = customer.window_ms
-    quota.learn(customer, customer.window_ms, CounterCall(1, 0.0, 0.0), 0.0)
-    assert customer.level <= 1.01 and customer.window == 1
+    quota.apply_total(customer, customer.window_ms, CounterCall(1, 0.0, 0.0), 0.0)
+    assert customer.level <= 1.01 and customer.total_window == 1
 
 
 @pytest.mark.parametrize("knows_debt", [False, True])
@@ -260,7 +260,10 @@
     drive = Drive(settings(), now=window_start(8) + 100.0)
     call = of(drive.arrive(0, spread=WIDE_SPREAD)[1], it.Count)[0]
     read = of(drive.count(call, 1.0), it.Count)[0]
-    assert of(drive.count(read, 0.0, it.Outcome.TIMEOUT), it.Send) and drive.gate.customers[1].call is None
+    assert (
+        of(drive.count(read, 0.0, it.Outcome.TIMEOUT), it.Send)
+        and drive.gate.customers[1].pending_call is None
+    )
 
 
 @pytest.mark.parametrize(
@@ -444,7 +447,7 @@
         got = drive.arrive(0, customer=drive.serial + 1)[1]
         sent = len(of(got, it.Send))
     customer = drive.gate.customers[drive.serial]
-    assert customer.unreported == 1.0 and customer.call is None
+    assert customer.unreported == 1.0 and customer.pending_call is None
     drive.gate.calls.load.value = 0.0
     calls = [call for call in of(drive.run_for(600.0), it.Count) if call.name >> 30 == customer.key]
     assert [call.amount for call in calls] == [1.0]
@@ -544,7 +547,7 @@
 def test_a_total_that_shows_lost_counts_adds_no_units() -> None:
     customer = known_customer(3.0)
     customer.total = 50.0
-    quota.learn(customer, 1000.0, CounterCall(0, 1.0, 1.0), 1.0)
+    quota.apply_total(customer, 1000.0, CounterCall(0, 1.0, 1.0), 1.0)
     assert customer.level == 3.0 and customer.total == 1.0
 
 
@@ -608,19 +611,22 @@
         outcome = it.Outcome.TIMEOUT if n % 30 == 29 else it.Outcome.OK
         drive.feed(it.CountAnswered(999 << 30, outcome, 1.0, 50.0 if n % 30 == 29 else 8.0))
         drive.now += 10.0
-        shares.append(drive.gate.calls.share(drive.now))
+        shares.append(drive.gate.calls.share_to_make(drive.now))
     assert min(shares[100:]) > 0.2 and sum(shares[100:]) / 200 > 0.75
     for _ in range(20):
         drive.feed(it.CountAnswered(999 << 30, it.Outcome.TIMEOUT, 0.0, 50.0))
-    assert drive.gate.calls.share(drive.now) < 0.1
+    assert drive.gate.calls.share_to_make(drive.now) < 0.1
 
 
 def test_counter_calls_resume_after_an_outage() -> None:
     """Guards against a counter that stays unused because of past failures."""
     drive = Drive(settings())
-    drive.gate.calls.load.value, drive.gate.calls.load.at = FAILED_LOAD, drive.now  # every call has failed
-    assert drive.gate.calls.share(drive.now) < 0.1
-    assert drive.gate.calls.share(drive.now + 15_000.0) == 1.0
+    drive.gate.calls.load.value, drive.gate.calls.load.at = (
+        FAILED_CALL_LOAD,
+        drive.now,
+    )  # every call has failed
+    assert drive.gate.calls.share_to_make(drive.now) < 0.1
+    assert drive.gate.calls.share_to_make(drive.now + 15_000.0) == 1.0
 
 
 def test_units_of_a_request_refused_after_its_call_are_given_back() -> None:
@@ -1005,7 +1011,7 @@
 
 def test_worths_further_apart_than_a_band_have_different_tiers() -> None:
     board = tiers(1.4, 1.3)
-    assert board.of(1.4) < board.of(1.3)
+    assert board.tier_of(1.4) < board.tier_of(1.3)
 
 
 def test_requests_do_not_queue_behind_an_open_call_while_calls_are_reduced() -> None:
@@ -1037,12 +1043,12 @@
 def test_calls_are_made_where_they_tell_most() -> None:
     """With a slow counter, a full bucket and a recent total need no call; an empty bucket or old total do."""
     drive = Drive(settings())
-    customer = drive.gate.meter.customer(drive.now, it.Arrived(1, drive.now + 5000.0, 1, 0, 0, 1.0, 2.0))
-    customer.window, customer.total_at, customer.level = 0, drive.now, PLAN.burst
-    fresh = quota.news_weight(customer, drive.now, 1.0)
+    customer = drive.gate.meter.get_customer(drive.now, it.Arrived(1, drive.now + 5000.0, 1, 0, 0, 1.0, 2.0))
+    customer.total_window, customer.total_at, customer.level = 0, drive.now, PLAN.burst
+    fresh = quota.call_value(customer, drive.now, 1.0)
     customer.level = 0.0
-    spent = quota.news_weight(customer, drive.now, 1.0)
-    assert fresh < spent < quota.news_weight(customer, drive.now + 5000.0, 1.0) <= 1.0
+    spent = quota.call_value(customer, drive.now, 1.0)
+    assert fresh < spent < quota.call_value(customer, drive.now + 5000.0, 1.0) <= 1.0
 
 
 def test_a_call_has_no_weight_if_it_gives_back_more_units_than_it_asks_for() -> None:
@@ -1051,9 +1057,9 @@
     This came about with 2 units to give back, 1 asked for and an empty bucket.
     """
     drive = Drive(settings(plans=(replace(PLAN, burst=4),)))
-    customer = drive.gate.meter.customer(drive.now, it.Arrived(1, drive.now + 5000.0, 1, 0, 0, 1.0, 2.0))
+    customer = drive.gate.meter.get_customer(drive.now, it.Arrived(1, drive.now + 5000.0, 1, 0, 0, 1.0, 2.0))
     customer.level, customer.unreported = 0.0, -2.0
-    assert quota.news_weight(customer, drive.now, 1.0) == 0.0
+    assert quota.call_value(customer, drive.now, 1.0) == 0.0
     number, got = drive.arrive(0)
     assert of(got, it.Count) or got == [it.Refuse(number)]
 
@@ -1076,8 +1082,8 @@
     board.capacity = 10.0
     for _ in range(20):
         board.admit(1, 0.2)
-    board._fill(0.0)
-    assert (board.cut, board.share) == (2, 1.0)
+    board._set_boundary(0.0)
+    assert (board.boundary, board.boundary_share) == (2, 1.0)
 
 
 def test_a_request_whose_client_left_while_it_waited_for_a_slot_is_not_sent_and_frees_no_slot() -> None:
@@ -1131,7 +1137,7 @@
     (call,) = of(got, it.Count)
     (send,) = of(drive.count(call, 9.0), it.Send)
     drive.end(send, it.Outcome.OK)
-    keep = drive.gate.customers[1].keep_ms
+    keep = drive.gate.customers[1].idle_timeout_ms
     assert PLAN.burst / PLAN.rate * 1000 < keep <= 30_000
     drive.run_for(keep - 2000.0)
     assert 1 in drive.gate.customers
