--- a/rainturn/node/assembly.py
+++ b/rainturn/node/assembly.py
@@ -87,7 +87,7 @@
     def in_service(on: bool) -> Answer:
         log.info("control: %s", "in service" if on else "out of service")
         node.feed(it.InService(on))
-        clients.in_service(on)
+        clients.set_in_service(on)
         return HTTPStatus.OK, "in service\n" if on else "out of service\n"
 
     return {
--- a/rainturn/node/client_connection.py
+++ b/rainturn/node/client_connection.py
@@ -70,7 +70,7 @@
         descriptor = transport.get_extra_info("socket").fileno()
         self.hangup_poll.register(descriptor, select.POLLRDHUP)
         self.input_poll.register(descriptor, select.POLLIN)
-        self.timeouts.enter(self.timeouts.unproven, self)
+        self.timeouts.enter(self.timeouts.awaiting_valid_command, self)
 
     # Reading.
 
@@ -87,7 +87,7 @@
             return
         self.parsing = True
         data, at, incomplete, commands = self.buffer, 0, False, 0
-        begin = self.arrivals.received - len(data)  # the offset of these bytes in the stream
+        begin = self.arrivals.received_bytes - len(data)  # the offset of these bytes in the stream
         try:
             while (
                 at < len(data)
@@ -98,7 +98,7 @@
                 if self.body is not None:
                     body = self.body
                     at, complete = self._read_body(body, data, at)
-                    arrived_at = self.arrivals.take(begin + at)
+                    arrived_at = self.arrivals.consume(begin + at)
                     if not complete:
                         break
                     self._end_body(body, arrived_at)
@@ -109,9 +109,9 @@
                 at = parsed.end
                 commands += 1
                 if parsed.body is None:
-                    self._execute(parsed.words, self.arrivals.take(begin + at))
+                    self._execute(parsed.words, self.arrivals.consume(begin + at))
                 else:
-                    self._begin_body(Body(parsed.words, parsed.body), self.arrivals.take(begin + at))
+                    self._begin_body(Body(parsed.words, parsed.body), self.arrivals.consume(begin + at))
         except Spoilt as error:
             self._reject(str(error))
         finally:
@@ -264,7 +264,7 @@
         """Note that the client has sent a command that can be served."""
         if not self.proven:
             self.proven = True
-            self.timeouts.unproven.pop(self, None)
+            self.timeouts.awaiting_valid_command.pop(self, None)
 
     def _reply_error(self, reason: str) -> None:
         """Answer a command in error; too many of them end the connection."""
@@ -278,7 +278,7 @@
     def _reject(self, reason: str) -> None:
         """Read no more, reply with an error once all before it is answered, then close."""
         self.closing, self.body = True, None
-        self.timeouts.unproven.pop(self, None)
+        self.timeouts.awaiting_valid_command.pop(self, None)
         request, self.uploading = self.uploading, None
         if request is not None and not request.done:
             self.node.client_left(request)  # it never came whole; the error is its answer
@@ -294,7 +294,7 @@
         """Close at once."""
         self.transport.abort()
 
-    def abort_if_silent(self) -> None:
+    def close_if_silent(self) -> None:
         """Close a connection that has sent nothing for too long.
 
         Guards against a request that came in time being cut off when the loop is late: time limits run
@@ -314,9 +314,9 @@
         self._reject("the command did not come whole in time")
         self.buffer = b""
         self._update_reading()
-        self.end_pending_requests()  # the error is owed now, and comes behind their answers
+        self.answer_pending_requests()  # the error is owed now, and comes behind their answers
 
-    def abort_if_read(self) -> None:
+    def abort_unless_reading(self) -> None:
         """Close a connection that has been told to go, but not while its client goes on reading answers."""
         unsent_bytes = unsent(self.transport)
         if not unsent_bytes or unsent_bytes >= self.unsent_bytes:
@@ -324,15 +324,15 @@
         self.unsent_bytes = unsent_bytes
         self.timeouts.enter(self.timeouts.lingering, self)
 
-    def check_unread(self) -> None:
+    def abort_if_write_stalled(self) -> None:
         """Close if the client has read nothing since the last check; slow is not stalled."""
         unsent_bytes = unsent(self.transport)
         if unsent_bytes >= self.unsent_bytes:
             return self.abort()
         self.unsent_bytes = unsent_bytes
-        self.timeouts.enter(self.timeouts.unread, self)
+        self.timeouts.enter(self.timeouts.write_stalled, self)
 
-    def end_pending_requests(self) -> None:
+    def answer_pending_requests(self) -> None:
         """Guards against an error that waits long behind open requests: these get their final answers now."""
         for entry in list(self.pending):
             if isinstance(entry, Request) and not entry.done and entry.value_source is None:
@@ -366,13 +366,13 @@
         """The client leaves replies unread."""
         self.writing_paused = True
         self.unsent_bytes = unsent(self.transport)
-        self.timeouts.enter(self.timeouts.unread, self)
+        self.timeouts.enter(self.timeouts.write_stalled, self)
         self._update_reading()
 
     def resume_writing(self) -> None:
         """The client reads again."""
         self.writing_paused = False
-        self.timeouts.unread.pop(self, None)
+        self.timeouts.write_stalled.pop(self, None)
         self._parse()
         self._resume_value()
 
@@ -404,7 +404,7 @@
         self.timeouts.idle.pop(self, None)
         self.timeouts.enter(self.timeouts.lingering, self)
 
-    def can_give_way(self) -> bool:
+    def is_evictable(self) -> bool:
         """Whether a connection without open requests may be closed at once.
 
         Not while its answers are on their way, or something has come that is to be read.
--- a/rainturn/node/clients.py
+++ b/rainturn/node/clients.py
@@ -88,8 +88,8 @@
         if self.listener is None:
             return Accept.NONE_WAITS
         full = len(self.connections) >= self.budget
-        least_active = self.timeouts.least_active() if full else None
-        if full and least_active is None:
+        eviction_candidate = self.timeouts.eviction_candidate() if full else None
+        if full and eviction_candidate is None:
             self._pause_accepting()  # until a client leaves or is idle
             return Accept.NO_ROOM
         try:
@@ -107,9 +107,9 @@
             self.node.loop.call_later(RETRY_S, self._resume_accepting)
             return Accept.FAILED
         self.accept_failing = False
-        if least_active is not None:
-            self._forget(least_active)
-            least_active.abort()
+        if eviction_candidate is not None:
+            self._forget(eviction_candidate)
+            eviction_candidate.abort()
         sock.setblocking(False)
         with contextlib.suppress(OSError):  # the client may have gone: that shows as it is read
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
@@ -156,12 +156,12 @@
 
     # Draining.
 
-    def in_service(self, on: bool) -> None:
+    def set_in_service(self, in_service: bool) -> None:
         """Out of service, drain once the front has had time to hear of it; new connections may still come."""
         if self.drain_timer is not None:
             self.drain_timer.cancel()
             self.drain_timer = None
-        if on:
+        if in_service:
             self._set_draining(False)
         elif not self.draining:
             self.drain_timer = self.node.loop.call_later(DRAIN_DELAY_S, self.drain)
--- a/tests/test_node_clients.py
+++ b/tests/test_node_clients.py
@@ -142,7 +142,7 @@
 
 
 def _limits(monkeypatch: pytest.MonkeyPatch, **limits: float) -> None:
-    for name, value in ({"SWEEP_S": 0.01} | limits).items():
+    for name, value in ({"SWEEP_INTERVAL_S": 0.01} | limits).items():
         monkeypatch.setattr(client_timeouts, name, value)
 
 
@@ -154,7 +154,7 @@
 
 
 def test_silence_half_a_command_and_rest_have_limits_in_time(monkeypatch: pytest.MonkeyPatch) -> None:
-    _limits(monkeypatch, UNPROVEN_S=0.5, COMMAND_S=0.05, IDLE_S=0.05)
+    _limits(monkeypatch, VALID_COMMAND_TIMEOUT_S=0.5, COMMAND_TIMEOUT_S=0.05, IDLE_TIMEOUT_S=0.05)
 
     async def main() -> None:
         async with World(held := Held()) as world:
@@ -170,13 +170,13 @@
             assert await served_one.answer() == b"value"
             assert await _ends(served_one)
             timeouts = world.parts.clients.timeouts
-            assert not (timeouts.unproven or timeouts.idle or timeouts.incomplete)
+            assert not (timeouts.awaiting_valid_command or timeouts.idle or timeouts.incomplete)
 
     run(main())
 
 
 def test_an_error_behind_open_requests_is_told_in_time(monkeypatch: pytest.MonkeyPatch) -> None:
-    _limits(monkeypatch, QUEUED_ERROR_S=0.05)
+    _limits(monkeypatch, QUEUED_ERROR_TIMEOUT_S=0.05)
 
     async def main() -> None:
         async with World(_silent) as world:
@@ -202,7 +202,7 @@
 
 
 def test_a_client_that_leaves_its_answers_unread_is_ended(monkeypatch: pytest.MonkeyPatch) -> None:
-    _limits(monkeypatch, UNREAD_S=0.05)
+    _limits(monkeypatch, WRITE_STALL_TIMEOUT_S=0.05)
 
     async def main() -> None:
         async with World(lambda words: served(b"x" * 60_000)) as world:
--- a/tests/test_node_control.py
+++ b/tests/test_node_control.py
@@ -128,7 +128,7 @@
                 back.ask(ident)
                 assert await back.answer() == b"value"  # the connection stays
 
-    monkeypatch.setattr(client_timeouts, "DRAINING_UNPROVEN_S", 0.1)
+    monkeypatch.setattr(client_timeouts, "DRAINING_VALID_COMMAND_TIMEOUT_S", 0.1)
     run(main())
 
 
@@ -233,7 +233,7 @@
             (connection,) = world.parts.clients.connections
             connection.abort()
             world.parts.clients.drain()
-            connection.check_unread()
+            connection.abort_if_write_stalled()
             assert await soon(client.reader.read()) == b""
 
     run(main())
--- a/tests/test_node_size.py
+++ b/tests/test_node_size.py
@@ -245,7 +245,7 @@
             assert figures["upstream_tries"] == figures["handled.pay.bad_gateway"] == 0
             raw.server.close()
 
-    monkeypatch.setattr(client_timeouts, "BODY_STALL_S", 0.2)
+    monkeypatch.setattr(client_timeouts, "BODY_STALL_TIMEOUT_S", 0.2)
     run(main())
 
 
--- a/tests/test_standing_clients.py
+++ b/tests/test_standing_clients.py
@@ -71,7 +71,7 @@
 
 
 def test_a_body_that_comes_slowly_and_goes_on_has_its_time(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(client_timeouts, "BODY_STALL_S", 1.0)
+    monkeypatch.setattr(client_timeouts, "BODY_STALL_TIMEOUT_S", 1.0)
 
     async def main() -> None:
         async with World(lambda words: served(words[4])) as world:
@@ -87,7 +87,7 @@
 
 def test_commands_that_are_cut_anywhere_each_have_their_own_time(monkeypatch: pytest.MonkeyPatch) -> None:
     """A client that is always in the middle of a command is not one that never ends its first."""
-    monkeypatch.setattr(client_timeouts, "COMMAND_S", 1.0)
+    monkeypatch.setattr(client_timeouts, "COMMAND_TIMEOUT_S", 1.0)
 
     async def main() -> None:
         async with World(lambda words: served(words[2])) as world:
@@ -201,11 +201,11 @@
                 client.send(b"PING")
                 assert await client.answer() == b"PONG"
             timeouts = world.parts.clients.timeouts
-            while not (timeouts.idle if rests else timeouts.unproven):
+            while not (timeouts.idle if rests else timeouts.awaiting_valid_command):
                 await asyncio.sleep(0)
             _now(client, _read(b"1"))
-            monkeypatch.setattr(client_timeouts, "IDLE_S", -1.0)
-            timeouts.unproven_s = -1.0
+            monkeypatch.setattr(client_timeouts, "IDLE_TIMEOUT_S", -1.0)
+            timeouts.valid_command_timeout_s = -1.0
             timeouts._sweep()
             monkeypatch.undo()
             assert await client.answer() == b"value"
