--- a/rainturn/node/client_connection.py
+++ b/rainturn/node/client_connection.py
@@ -1,4 +1,4 @@
-"""One client's connection: commands in, replies out, and how it ends."""
+"""A client connection: reads commands, sends replies, and decides when and how the connection ends."""
 
 from __future__ import annotations
 
@@ -19,14 +19,14 @@
 from rainturn.node.requests import Request
 from rainturn.node.resp import Spoilt, command, unread, unsent
 
-MAX_ERRORS = 8  # commands in error on one connection; one more ends it
-MAX_PENDING = 32  # requests of one connection at once; more wait unread
-COMMAND_BATCH = 64  # commands of one connection in one turn of the loop, so that many hold up no other work
-LIVENESS_CHECK_S = 0.1  # how often a client is checked for its hang-up while nothing is read of it
+MAX_ERRORS = 8  # invalid commands on one connection; one more closes it
+MAX_PENDING = 32  # unanswered commands per connection; further input stays unread
+COMMAND_BATCH = 64  # commands of one connection per event loop iteration, so that other work is not delayed
+LIVENESS_CHECK_INTERVAL_S = 0.1  # how often a client is checked for a hang-up while reading is paused
 
 
 class ConnectionOwner(Protocol):
-    """What a connection needs of the listener that accepted it."""
+    """The interface that a connection requires of the listener that accepted it."""
 
     node: Node
     parser: CommandParser
@@ -34,38 +34,38 @@
     draining: bool
 
     def has_room(self, request: Request) -> bool:
-        """Whether one more request may be open."""
+        """Return whether one more request may be open."""
 
     def on_idle(self, connection: ClientConnection) -> None:
-        """All requests of a connection are answered."""
+        """Handle a connection whose requests have all been answered."""
 
     def on_closed(self, connection: ClientConnection) -> None:
-        """A connection has ended."""
+        """Handle a connection that has ended."""
 
 
 class ClientConnection(ClientReplies):
-    """Reads one client's commands, and ends its connection when a limit is passed."""
+    """Reads the commands of one client, and closes the connection when the client exceeds a limit."""
 
     def __init__(self, owner: ConnectionOwner) -> None:
         super().__init__(owner.node.clock)
         self.owner, self.node, self.timeouts = owner, owner.node, owner.timeouts
-        self.buffer = b""  # commands that are incomplete, or have to wait
+        self.buffer = b""  # bytes of commands that are incomplete or not parsed yet
         self.arrivals = ArrivalTimes()
-        self.body: Body | None = None  # of the command that is coming in
-        self.uploading: Request | None = None  # that command's request, if its body is passed on
-        self.unsent_bytes = 0  # how much the client had left unread at the last check
+        self.body: Body | None = None  # of the command that is being received
+        self.upload_request: Request | None = None  # request of that command, if its body is streamed
+        self.unsent_bytes = 0  # bytes that the client had not received at the last check
         self.error_count = 0
-        self.proven = False  # whether it has sent a command that can be served
+        self.has_sent_valid_command = False
         self.reading_paused = False
-        self.reading_ended = False  # whether it is closed as soon as the client has its answers
-        self.parsing = False  # guards against parsing again from within a command
-        self.parse_handle: asyncio.Handle | None = None  # set while more commands wait for the next turn
+        self.reading_ended = False  # whether the connection closes once the client has received its replies
+        self.parsing = False  # guards against recursive parsing from within a command
+        self.parse_handle: asyncio.Handle | None = None  # set while parsing continues in the next iteration
         self.liveness_timer: asyncio.TimerHandle | None = None  # set while reading is paused
-        self.hangup_poll = select.poll()  # shows the client's end, also behind what is not read yet
-        self.input_poll = select.poll()  # shows bytes that are not read yet
+        self.hangup_poll = select.poll()  # detects that the client has hung up, even behind unread input
+        self.input_poll = select.poll()  # detects unread input
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Begin the time in which a new client has to send something that can be served."""
+        """Start the time limit within which a new client has to send a valid command."""
         self.transport = cast(asyncio.Transport, transport)
         descriptor = transport.get_extra_info("socket").fileno()
         self.hangup_poll.register(descriptor, select.POLLRDHUP)
@@ -75,7 +75,7 @@
     # Reading.
 
     def data_received(self, data: bytes) -> None:
-        """Read commands; bytes that are no command end the connection, and what follows them is dropped."""
+        """Parse received bytes; a protocol error ends the connection, and the bytes after it are dropped."""
         if self.closing:
             return
         self.arrivals.note_received(len(data), self.node.clock.now())
@@ -86,42 +86,44 @@
         if self.parsing or self.parse_handle is not None:
             return
         self.parsing = True
-        data, at, incomplete, commands = self.buffer, 0, False, 0
-        begin = self.arrivals.received_bytes - len(data)  # the offset of these bytes in the stream
+        data, position, incomplete, commands = self.buffer, 0, False, 0
+        data_offset = self.arrivals.received_bytes - len(data)  # offset of `data` in the stream
         try:
             while (
-                at < len(data)
+                position < len(data)
                 and commands < COMMAND_BATCH
                 and not (self.closing or self.writing_paused)
-                and (self.body is not None or not self._awaits_answers())
+                and (self.body is not None or not self._must_await_replies())
             ):
                 if self.body is not None:
                     body = self.body
-                    at, complete = self._read_body(body, data, at)
-                    arrived_at = self.arrivals.consume(begin + at)
+                    position, complete = self._read_body(body, data, position)
+                    arrived_at = self.arrivals.consume(data_offset + position)
                     if not complete:
                         break
                     self._end_body(body, arrived_at)
                     continue
-                if (parsed := command(data, at)) is None:
+                if (parsed := command(data, position)) is None:
                     incomplete = True
                     break
-                at = parsed.end
+                position = parsed.end
                 commands += 1
                 if parsed.body is None:
-                    self._execute(parsed.words, self.arrivals.consume(begin + at))
+                    self._execute(parsed.words, self.arrivals.consume(data_offset + position))
                 else:
-                    self._begin_body(Body(parsed.words, parsed.body), self.arrivals.consume(begin + at))
+                    self._begin_body(
+                        Body(parsed.words, parsed.body), self.arrivals.consume(data_offset + position)
+                    )
         except Spoilt as error:
             self._reject(str(error))
         finally:
             self.parsing = False
-        self.buffer = b"" if self.closing else data[at:] if at else data
+        self.buffer = b"" if self.closing else data[position:] if position else data
         if commands == COMMAND_BATCH and self.buffer:
             self._parse_next_turn()
         if incomplete:
-            if at:
-                self.timeouts.incomplete.pop(self, None)  # that was another command, and is whole
+            if position:
+                self.timeouts.incomplete.pop(self, None)  # the earlier incomplete command is now complete
             self.timeouts.idle.pop(self, None)
             self.timeouts.enter(self.timeouts.incomplete, self)
         elif self in self.timeouts.incomplete:
@@ -141,37 +143,37 @@
             self._parse()
 
     def _begin_body(self, body: Body, arrived_at: float) -> None:
-        """Begin a command with a body: at once if that is passed on, else when it is whole.
+        """Begin a command with a body: immediately if the body is streamed, otherwise once it is complete.
 
-        A command with a short body proves the client already now if its head can be served.
+        A command with a short body already counts as valid here if its head is valid.
         """
         self.body = body
         body.resume = self._update_reading
         if body.long:
             self._execute(body.words, arrived_at, body)
-        elif not self.proven:
+        elif not self.has_sent_valid_command:
             with contextlib.suppress(MalformedCommand):
                 self.owner.parser.request([*body.words, b""], self, arrived_at)
-                self._prove()
+                self._note_valid_command()
 
-    def _read_body(self, body: Body, data: bytes, at: int) -> tuple[int, bool]:
-        """Take what has come of a body; returns where that ends, and whether the command is whole."""
-        piece = data[at : at + body.left]
+    def _read_body(self, body: Body, data: bytes, position: int) -> tuple[int, bool]:
+        """Read the available bytes of a body; return the position after them and whether it is complete."""
+        piece = data[position : position + body.left]
         if piece:
             body.feed(piece)
-        at += len(piece)
-        tail = data[at : at + 2]
+        position += len(piece)
+        tail = data[position : position + 2]
         if body.left or len(tail) < 2:
             if tail[:1] not in (b"", b"\r"):
                 raise Spoilt("a length does not fit")
-            return at, False
+            return position, False
         if tail != b"\r\n":
             raise Spoilt("a length does not fit")
-        return at + 2, True
+        return position + 2, True
 
     def _end_body(self, body: Body, arrived_at: float) -> None:
-        """The last byte of a command with a body came at that time (Unix time in ms)."""
-        self.body, request, self.uploading = None, self.uploading, None
+        """End a command with a body, whose last byte arrived at `arrived_at` (Unix time in ms)."""
+        self.body, request, self.upload_request = None, self.upload_request, None
         body.end()
         if not body.long:
             self._execute([*body.words, b"".join(body.held)], arrived_at)
@@ -181,19 +183,21 @@
             self._on_all_answered()
 
     def _update_reading(self) -> None:
-        """Pause or resume reading: paused while many requests are open or the client leaves replies unread.
+        """Pause reading while many requests are open or the client leaves replies unread; resume it after.
 
-        Guards against a client that never reads filling the memory: all it can leave with us is what
-        is open when its replies stop going out.
+        Guards against a client that never reads its replies and so fills the memory: once its replies no
+        longer go out, only the replies to the requests that are already open can accumulate.
         """
-        pause = self.reading_ended or (not self.closing and (self.writing_paused or self._has_enough()))
+        pause = self.reading_ended or (not self.closing and (self.writing_paused or self._has_enough_input()))
         if pause != self.reading_paused and not self.transport.is_closing():
             self.reading_paused = pause
             self._cancel_liveness_timer()
             if pause:
                 self.transport.pause_reading()
                 self._note_unread()
-                self.liveness_timer = self.node.loop.call_later(LIVENESS_CHECK_S, self._check_liveness)
+                self.liveness_timer = self.node.loop.call_later(
+                    LIVENESS_CHECK_INTERVAL_S, self._check_liveness
+                )
             else:
                 self.transport.resume_reading()
         if self.body is None or pause or self.closing:
@@ -202,45 +206,46 @@
             self.timeouts.idle.pop(self, None)
             self.timeouts.enter(self.timeouts.uploading, self)
 
-    def _has_enough(self) -> bool:
-        """Whether more input would be too much: for what is parsed, the body, or the open requests."""
+    def _has_enough_input(self) -> bool:
+        """Return whether the parser, the body or the open requests can take no more input for now."""
         if self.parse_handle is not None:
             return True
         if self.body is not None and self.body.long:
             return not self.body.wants()
-        return self._awaits_answers()
+        return self._must_await_replies()
 
-    def _awaits_answers(self) -> bool:
-        """Whether no further command may be taken before some are answered.
+    def _must_await_replies(self) -> bool:
+        """Return whether earlier commands have to be answered before the next one is executed.
 
-        Guards against requests behind a long value being lost with it: if it breaks off the connection ends.
+        Guards against losing the requests behind a long value: if the value is cut short, the connection
+        closes.
         """
         if len(self.pending) >= MAX_PENDING:
             return True
         return any(isinstance(entry, Request) and entry.value_source is not None for entry in self.pending)
 
     def begin_value(self, request: Request, length: int) -> None:
-        """Begin a long value of so many bytes, and read no further commands until it has gone out."""
+        """Begin a long value of `length` bytes, and read no further commands until it has been sent."""
         super().begin_value(request, length)
         self._update_reading()
 
     # Commands.
 
     def _execute(self, words: list[bytes], arrived_at: float, body: Body | None = None) -> None:
-        """Carry out a command; one with a body that is passed on need not be whole.
+        """Execute a command; if its body is streamed, the body may still be incomplete.
 
-        `arrived_at`: when the last of its bytes so far came, Unix time in ms.
+        `arrived_at` is the time at which the last byte received so far arrived, in Unix ms.
         """
         verb = words[0].upper()
         if body is not None:
-            body.over = True  # until a request takes it
+            body.over = True  # until a request accepts the body
         if verb in REQUEST_VERBS:
             self._begin_request(words, arrived_at, body)
         elif verb == b"PING":
-            self._prove()
+            self._note_valid_command()
             self._reply(b"+PONG\r\n" if self.node.ready() else b"-ERR not ready\r\n")
         elif verb in (b"CLIENT", b"SELECT"):
-            self._prove()
+            self._note_valid_command()
             self._reply(b"+OK\r\n")
         else:
             self._reply_error("unknown command")
@@ -250,24 +255,24 @@
             request = self.owner.parser.request(words, self, arrived_at, body)
         except MalformedCommand as error:
             return self._reply_error(str(error))
-        self._prove()
+        self._note_valid_command()
         if not self.owner.has_room(request):
             self.node.counters.ended(request.arrival.request_class, Ending.DROPPED)
             return self._reply(b"-BUSY\r\n")
         self.timeouts.idle.pop(self, None)
         self.pending.append(request)
         if body is not None:
-            body.over, self.uploading = False, request
+            body.over, self.upload_request = False, request
         self.node.arrived(request)
 
-    def _prove(self) -> None:
-        """Note that the client has sent a command that can be served."""
-        if not self.proven:
-            self.proven = True
+    def _note_valid_command(self) -> None:
+        """Record that the client has sent a valid command."""
+        if not self.has_sent_valid_command:
+            self.has_sent_valid_command = True
             self.timeouts.awaiting_valid_command.pop(self, None)
 
     def _reply_error(self, reason: str) -> None:
-        """Answer a command in error; too many of them end the connection."""
+        """Reply to an invalid command with an error; too many of them end the connection."""
         self.error_count += 1
         if self.error_count > MAX_ERRORS:
             return self._reject("too many errors")
@@ -276,56 +281,60 @@
         self._reply(b"-ERR %s\r\n" % reason.encode())
 
     def _reject(self, reason: str) -> None:
-        """Read no more, reply with an error once all before it is answered, then close."""
+        """Stop reading, reply with an error after all earlier replies, then close the connection."""
         self.closing, self.body = True, None
         self.timeouts.awaiting_valid_command.pop(self, None)
-        request, self.uploading = self.uploading, None
+        request, self.upload_request = self.upload_request, None
         if request is not None and not request.done:
-            self.node.client_left(request)  # it never came whole; the error is its answer
+            self.node.client_left(request)  # its body was never complete; the error below is its reply
             if request in self.pending:
                 self.pending.remove(request)
         if self.pending:
             self.timeouts.enter(self.timeouts.error_queued, self)
         self._reply(b"-ERR %s\r\n" % reason.encode())
 
-    # Time limits, as the sweep finds them passed.
+    # Expired time limits, called by the sweep.
 
     def abort(self) -> None:
-        """Close at once."""
+        """Close the connection immediately."""
         self.transport.abort()
 
     def close_if_silent(self) -> None:
         """Close a connection that has sent nothing for too long.
 
-        Guards against a request that came in time being cut off when the loop is late: time limits run
-        before sockets are read. After the next read a proven client is idle anew; another has to be proven.
+        Guards against cutting off a request that arrived in time when the event loop is late, since timers
+        run before sockets are read. After the next read, a client that has sent a valid command counts as
+        idle again; any other client must have sent one by then.
         """
         if not self.has_unread_input():
-            self._end()
-        elif not self.proven:
-            self.node.loop.call_later(0, self._abort_if_unproven)
+            self._close_gracefully()
+        elif not self.has_sent_valid_command:
+            self.node.loop.call_later(0, self._abort_if_no_valid_command)
 
-    def _abort_if_unproven(self) -> None:
-        if not (self.proven or self.closing):
+    def _abort_if_no_valid_command(self) -> None:
+        if not (self.has_sent_valid_command or self.closing):
             self.abort()
 
     def reject_incomplete(self) -> None:
-        """Guards against half a command, or a line without end, holding a connection."""
+        """Reject an incomplete command with an error.
+
+        Guards against a partial command, or a line that never ends, holding the connection open.
+        """
         self._reject("the command did not come whole in time")
         self.buffer = b""
         self._update_reading()
-        self.answer_pending_requests()  # the error is owed now, and comes behind their answers
+        self.answer_pending_requests()  # the error is due now, but has to follow their replies
 
     def abort_unless_reading(self) -> None:
-        """Close a connection that has been told to go, but not while its client goes on reading answers."""
+        """Abort a connection that is being closed, unless the client is still reading its replies."""
         unsent_bytes = unsent(self.transport)
         if not unsent_bytes or unsent_bytes >= self.unsent_bytes:
             return self.abort()
         self.unsent_bytes = unsent_bytes
         self.timeouts.enter(self.timeouts.lingering, self)
 
-    def abort_if_write_stalled(self) -> None:
-        """Close if the client has read nothing since the last check; slow is not stalled."""
+    def check_write_progress(self) -> None:
+        """Abort the connection if the client has read nothing since the last check; a slow client stays."""
         unsent_bytes = unsent(self.transport)
         if unsent_bytes >= self.unsent_bytes:
             return self.abort()
@@ -333,14 +342,17 @@
         self.timeouts.enter(self.timeouts.write_stalled, self)
 
     def answer_pending_requests(self) -> None:
-        """Guards against an error that waits long behind open requests: these get their final answers now."""
+        """Give the open requests their final replies now.
+
+        Guards against an error waiting for a long time behind open requests.
+        """
         for entry in list(self.pending):
             if isinstance(entry, Request) and not entry.done and entry.value_source is None:
                 self.node.end_now(entry)
 
-    # Replies, as they go out.
+    # Sent replies.
 
-    def _replies_written(self) -> None:
+    def _on_replies_written(self) -> None:
         if self.reading_paused:
             self._parse_next_turn()
         if self.pending:
@@ -351,90 +363,91 @@
 
     def _on_all_answered(self) -> None:
         if self.body is not None:
-            return  # the rest of a command that is answered already
+            return  # the rest of a command that has already been answered is still being received
         if self.closing:
-            # Guards against a reset that would overtake the last answer: the client ends its side first.
-            self._end_sending()
+            # Guards against a reset that overtakes the last reply: the client closes its side first.
+            self._close_write_side()
         elif self.buffer:
-            return  # a command has begun to come, or is parsed next
+            return  # a command is incomplete, or is parsed next
         elif self.owner.draining:
             self.close_if_idle()
-        elif self.proven:
+        elif self.has_sent_valid_command:
             self.owner.on_idle(self)
 
     def pause_writing(self) -> None:
-        """The client leaves replies unread."""
+        """Handle a full write buffer: the client leaves replies unread."""
         self.writing_paused = True
         self.unsent_bytes = unsent(self.transport)
         self.timeouts.enter(self.timeouts.write_stalled, self)
         self._update_reading()
 
     def resume_writing(self) -> None:
-        """The client reads again."""
+        """Continue parsing and sending once the client reads again."""
         self.writing_paused = False
         self.timeouts.write_stalled.pop(self, None)
         self._parse()
         self._resume_value()
 
-    # The end.
+    # Closing.
 
     def close_if_idle(self) -> None:
-        """Close between requests; one that has begun to come, read or not, is served first."""
+        """Close the connection between requests; a partly received command, read or not, is served first."""
         if self.pending or self.buffer or self.body is not None:
             return
         if not (self.closing or self.transport.is_closing() or self.has_unread_input()):
-            self._end()
+            self._close_gracefully()
 
-    def _end(self) -> None:
-        """Close between requests: at once if the client's machine has all answers, else when it has them.
+    def _close_gracefully(self) -> None:
+        """Close between requests: immediately if the client's machine has all replies, otherwise after that.
 
-        Guards against bytes of the client that cross the close: they turn it into a reset, which drops what
-        has not left this machine yet.
+        Guards against bytes from the client that cross the close. They turn it into a reset, which drops
+        the replies that have not left this machine yet.
         """
         if not unsent(self.transport):
             return self.transport.close()
         self.closing = self.reading_ended = True
         self._update_reading()
-        self._end_sending()
+        self._close_write_side()
 
-    def _end_sending(self) -> None:
-        """Say that no more will come; the client has some time to read what has."""
+    def _close_write_side(self) -> None:
+        """Half-close the connection; the client has some time to read the replies already written."""
         self.transport.write_eof()
         self.unsent_bytes = sys.maxsize
         self.timeouts.idle.pop(self, None)
         self.timeouts.enter(self.timeouts.lingering, self)
 
     def is_evictable(self) -> bool:
-        """Whether a connection without open requests may be closed at once.
+        """Return whether a connection without open requests may be closed immediately.
 
-        Not while its answers are on their way, or something has come that is to be read.
+        It may not while replies are in transit, or while there is unread input that is still to be served.
         """
         return not (unsent(self.transport) or (self.has_unread_input() and not self.closing))
 
     def has_unread_input(self) -> bool:
-        """Whether bytes of the client, or its end, lie in the system and the loop has yet to read them."""
+        """Return whether bytes of the client, or its end of stream, wait in the socket buffer."""
         return not self.transport.is_closing() and bool(self.input_poll.poll(0))
 
     def is_connected(self) -> bool:
-        """Whether the client is still connected; if not, its requests end now. Asked before each attempt.
+        """Return whether the client is still connected; if it is not, end its requests.
 
-        Guards against attempts that begin after its end has come but before it is read: from our buffers,
-        from any wait, or as the loop comes late to its reading.
+        Called before each attempt. Guards against attempts that begin after the client has hung up but
+        before the event loop reads its end of stream: for commands in our buffers, after any wait, or when
+        the loop is late.
         """
         if self.transport.is_closing():
-            self._end_requests()  # it was cut off, or broke and the loop has yet to say so
+            self._drop_requests()  # aborted, or broken and not reported by the event loop yet
         elif self.hangup_poll.poll(0):
-            self._hang_up()
+            self._on_hangup()
         return not self.transport.is_closing()
 
     def _check_liveness(self) -> None:
-        """See whether a client has gone of which nothing is read, so that its end is not read either."""
+        """Detect a client that has hung up while reading is paused, when its end of stream is not read."""
         if self.is_connected():
             self._note_unread()
-            self.liveness_timer = self.node.loop.call_later(LIVENESS_CHECK_S, self._check_liveness)
+            self.liveness_timer = self.node.loop.call_later(LIVENESS_CHECK_INTERVAL_S, self._check_liveness)
 
     def _note_unread(self) -> None:
-        """Note what has come while nothing is read: the time of these commands runs already."""
+        """Record bytes that arrive while reading is paused: the time limits of their commands run already."""
         self.arrivals.note_unread(unread(self.transport), self.node.clock.now())
 
     def _cancel_liveness_timer(self) -> None:
@@ -442,24 +455,24 @@
             self.liveness_timer.cancel()
             self.liveness_timer = None
 
-    def _hang_up(self) -> None:
-        """The client has left: nothing is owed to it, whatever of ours it has not read yet."""
+    def _on_hangup(self) -> None:
+        """Abort the connection of a client that has left; replies that it has not read are dropped."""
         self.closing = True
         self._cancel_liveness_timer()
         self.transport.abort()
-        self._end_requests()
+        self._drop_requests()
 
-    def _end_requests(self) -> None:
+    def _drop_requests(self) -> None:
         pending, self.pending = self.pending, deque()
         for entry in pending:
             if isinstance(entry, Request):
                 self.node.client_left(entry)
 
     def eof_received(self) -> None:
-        """The client's end counts at once, not when what waits to be written has left."""
-        self._hang_up()
+        """Handle the client's end of stream immediately, without waiting for pending writes."""
+        self._on_hangup()
 
     def connection_lost(self, error: Exception | None) -> None:
-        """Free all state of the connection; the module hears of its requests' end."""
-        self._hang_up()
+        """Free all state of the connection, and report the end of its requests to the decision module."""
+        self._on_hangup()
         self.owner.on_closed(self)
--- a/rainturn/node/client_timeouts.py
+++ b/rainturn/node/client_timeouts.py
@@ -1,4 +1,4 @@
-"""Time limits of client connections: since when each is in a state that may not last, and the sweep."""
+"""Time limits of client connections: the times at which they entered their states, and the periodic sweep."""
 
 from __future__ import annotations
 
@@ -7,47 +7,47 @@
 from itertools import chain
 from typing import Generic, NamedTuple, Protocol, TypeVar
 
-SWEEP_INTERVAL_S = 0.25  # interval of the sweep; each limit below is that much under what clients are owed
-VALID_COMMAND_TIMEOUT_S = 2.5  # how long a new connection may send nothing that can be served
+SWEEP_INTERVAL_S = 0.25  # each limit below is shorter by this than the time that clients are promised
+VALID_COMMAND_TIMEOUT_S = 2.5  # how long a new connection may take to send a valid command
 DRAINING_VALID_COMMAND_TIMEOUT_S = 1.0  # the same while all connections are being closed
-COMMAND_TIMEOUT_S = 2.5  # how long a command's head may take to come whole
-BODY_STALL_TIMEOUT_S = 2.0  # how long its body may make no progress
-QUEUED_ERROR_TIMEOUT_S = 2.0  # how long an error may wait behind requests that are still open
+COMMAND_TIMEOUT_S = 2.5  # how long the head of a command may take to arrive completely
+BODY_STALL_TIMEOUT_S = 2.0  # how long the body of a command may make no progress
+QUEUED_ERROR_TIMEOUT_S = 2.0  # how long an error may wait behind open requests
 IDLE_TIMEOUT_S = 6.0  # how long a client may be idle
-WRITE_STALL_TIMEOUT_S = 10.0  # how long a client may leave its answers unread
-LINGER_TIMEOUT_S = 1.0  # how long a client may take to read why its connection ends
+WRITE_STALL_TIMEOUT_S = 10.0  # how long a client may read none of its replies
+LINGER_TIMEOUT_S = 1.0  # how long a client may take to read why its connection is closed
 
 
 class TimedConnection(Protocol):
-    """What the sweep does with a connection whose time in a state is over."""
+    """A connection as the sweep sees it: what can be done once its time in a state has expired."""
 
     def is_evictable(self) -> bool:
-        """Whether it may be closed at once: nothing has come that is not read, nothing waits to leave."""
+        """Return whether it may be closed immediately: no unread input and no unsent replies."""
 
     def abort(self) -> None:
-        """Close at once."""
+        """Close immediately."""
 
     def close_if_silent(self) -> None:
-        """Close at once, unless something has come that is not read yet."""
+        """Close unless there is unread input."""
 
     def abort_unless_reading(self) -> None:
-        """Close, unless the client goes on reading what it has been sent."""
+        """Abort unless the client is still reading its replies."""
 
     def reject_incomplete(self) -> None:
-        """End a command that did not come whole in time, with an error."""
+        """Reject a command that did not arrive completely in time."""
 
     def answer_pending_requests(self) -> None:
-        """Give the open requests that an error waits for their final answers."""
+        """Give final replies to the open requests that a queued error waits for."""
 
-    def abort_if_write_stalled(self) -> None:
-        """Close unless the client has read some of its answers."""
+    def check_write_progress(self) -> None:
+        """Abort unless the client has read some of its replies."""
 
 
 ConnectionT = TypeVar("ConnectionT", bound=TimedConnection)
 
 
 class TimeLimit(NamedTuple, Generic[ConnectionT]):
-    """A state's connections, how long each may be in it, in s, and what is done with one at the end."""
+    """The connections in one state, how many seconds each may stay in it, and the action on expiry."""
 
     state: dict[ConnectionT, float]
     seconds: float
@@ -55,21 +55,22 @@
 
 
 class ConnectionTimeouts(Generic[ConnectionT]):
-    """Connections by state, each with the time, on the loop's clock in s, at which it entered the state.
+    """Connections by state, each with the time at which it entered the state (event loop time in s).
 
-    The connection that entered first stands first in each state; one may be in several states.
+    Within a state, connections are in the order in which they entered it. A connection may be in several
+    states.
     """
 
     def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
         self.loop = loop
         self.valid_command_timeout_s = VALID_COMMAND_TIMEOUT_S
-        self.awaiting_valid_command: dict[ConnectionT, float] = {}  # has sent nothing that could be served
+        self.awaiting_valid_command: dict[ConnectionT, float] = {}  # has not sent a valid command yet
         self.idle: dict[ConnectionT, float] = {}  # all its requests are answered
-        self.incomplete: dict[ConnectionT, float] = {}  # has begun a command
-        self.uploading: dict[ConnectionT, float] = {}  # owes more of a body, since its last piece
+        self.incomplete: dict[ConnectionT, float] = {}  # has sent part of a command
+        self.uploading: dict[ConnectionT, float] = {}  # more of a body is due; timed from its last piece
         self.error_queued: dict[ConnectionT, float] = {}  # an error waits behind its open requests
-        self.lingering: dict[ConnectionT, float] = {}  # has been sent the reason of its end
-        self.write_stalled: dict[ConnectionT, float] = {}  # leaves answers unread
+        self.lingering: dict[ConnectionT, float] = {}  # write side is closed; the client may read the rest
+        self.write_stalled: dict[ConnectionT, float] = {}  # write buffer is full of unread replies
         self.states = (
             self.awaiting_valid_command,
             self.idle,
@@ -81,33 +82,34 @@
         )
 
     def set_draining(self, draining: bool) -> None:
-        """Wait less for new connections while all are being closed."""
+        """Shorten the time limit of new connections while all connections are being closed."""
         self.valid_command_timeout_s = (
             DRAINING_VALID_COMMAND_TIMEOUT_S if draining else VALID_COMMAND_TIMEOUT_S
         )
 
     def enter(self, state: dict[ConnectionT, float], connection: ConnectionT) -> None:
-        """Note that a connection enters one of the states; its time runs on if it is in it already."""
+        """Add a connection to a state; if it is already there, its time continues."""
         if connection not in state:
             state[connection] = self.loop.time()
 
     def forget(self, connection: ConnectionT) -> None:
-        """Take a connection out of all states."""
+        """Remove a connection from all states."""
         for state in self.states:
             state.pop(connection, None)
 
     def eviction_candidate(self) -> ConnectionT | None:
-        """The connection that is closed first for a new one; None: each has a request open.
+        """Return the connection to close first in favour of a new one, or None if all have to stay.
 
-        Guards against connections that are opened and left silent pushing out clients that are served: one
-        that has been told to go comes first, then one that never proved itself, then the one idle longest.
-        One whose next command has come, read or not, or whose answers have not left, is left alone.
+        Guards against connections that are opened and left silent displacing clients that are served.
+        Connections that are being closed come first, then those that have not sent a valid command, then the
+        one that has been idle longest. A connection stays while it has an open request, while its next
+        command has arrived, read or not, or while replies have not left.
         """
         candidates = chain(self.lingering, self.awaiting_valid_command, self.idle)
         return next((connection for connection in candidates if connection.is_evictable()), None)
 
     def start(self) -> None:
-        """Begin to sweep."""
+        """Start the periodic sweep."""
         self.loop.call_later(SWEEP_INTERVAL_S, self._sweep)
 
     def _sweep(self) -> None:
@@ -142,6 +144,6 @@
             TimeLimit(
                 self.write_stalled,
                 WRITE_STALL_TIMEOUT_S,
-                lambda connection: connection.abort_if_write_stalled(),
+                lambda connection: connection.check_write_progress(),
             ),
         )
--- a/tests/test_node_control.py
+++ b/tests/test_node_control.py
@@ -233,7 +233,7 @@
             (connection,) = world.parts.clients.connections
             connection.abort()
             world.parts.clients.drain()
-            connection.abort_if_write_stalled()
+            connection.check_write_progress()
             assert await soon(client.reader.read()) == b""
 
     run(main())
