--- a/rainturn/node/clients.py
+++ b/rainturn/node/clients.py
@@ -19,44 +19,44 @@
 
 log = logging.getLogger(__name__)
 
-BACKLOG = 1024  # connections that the system holds until they are accepted
-ACCEPT_BATCH = 32  # connections accepted in one turn of the loop, so that many cannot hold up the others
-ACCEPT_LAST_S = 0.25  # for how long those that wait as the listener closes are accepted if accept fails
-COMMANDS_SHARE = 0.25  # share of the memory limit for the commands of open requests
-DRAIN_DELAY_S = 0.6  # from out of service to the drain: clients' last new connections have come by then
-CLOSE_S = 0.2  # how long the last replies may take to leave when the gateway stops
+BACKLOG = 1024  # connections that the kernel queues until they are accepted
+ACCEPT_BATCH = 32  # connections accepted per event loop iteration, so that many do not delay other work
+FINAL_ACCEPT_TIMEOUT_S = 0.25  # how long failed accepts are retried before the listener closes
+COMMAND_MEMORY_SHARE = 0.25  # share of the memory limit for the commands of open requests
+DRAIN_DELAY_S = 0.6  # from going out of service to draining; the last new connections have arrived by then
+CLOSE_TIMEOUT_S = 0.2  # how long the last replies may take to be sent when the gateway stops
 
 
-class Accept(enum.Enum):
-    """What came of accepting a connection."""
+class AcceptResult(enum.Enum):
+    """The result of accepting one connection."""
 
-    DONE = enum.auto()  # accepted, or it had gone; another may wait
-    NONE_WAITS = enum.auto()
-    NO_ROOM = enum.auto()
-    FAILED = enum.auto()  # for a shortage of this machine: others may wait
+    DONE = enum.auto()  # accepted, or the client had already gone; another may be waiting
+    NONE_WAITING = enum.auto()
+    NO_ROOM = enum.auto()  # the budget is used up and no connection can be evicted
+    FAILED = enum.auto()  # this machine lacks a resource, such as descriptors; others may be waiting
 
 
 class ClientListener:
-    """The listener and the budget of client connections."""
+    """Accepts client connections within a budget and keeps track of them."""
 
     def __init__(self, node: Node, names: Names, budget: int, max_open: int, memory_mb: float) -> None:
         self.node, self.budget, self.max_open = node, budget, max_open
-        self.max_held_bytes = int(memory_mb * COMMANDS_SHARE * (1 << 20))
+        self.max_held_bytes = int(memory_mb * COMMAND_MEMORY_SHARE * (1 << 20))
         self.parser = CommandParser(node, names)
         self.timeouts: ConnectionTimeouts[ClientConnection] = ConnectionTimeouts(node.loop)
         self.connections: set[ClientConnection] = set()
         self.tasks: set[asyncio.Task[None]] = set()
         self.listener: socket.socket | None = None
         self.accepting = False
-        self.accept_failing = False  # since the last connection was accepted
-        self.draining = False  # whether connections close once they are answered
+        self.accept_failing = False  # whether accept has failed since the last accepted connection
+        self.draining = False  # whether connections close once their requests are answered
         self.drain_timer: asyncio.TimerHandle | None = None
         self.all_closed: asyncio.Event | None = None
 
     # Accepting.
 
     def accept_from(self, listener: socket.socket) -> tuple[str, int]:
-        """Accept from a socket that listens already; returns its address."""
+        """Start to accept connections from a listening socket; return its host and port."""
         self.listener = listener
         self.listener.setblocking(False)
         self._resume_accepting()
@@ -74,77 +74,77 @@
             self.accepting = False
             self.node.loop.remove_reader(self.listener)
 
-    def _accept_batch(self) -> Accept:
-        """Accept some of the connections that wait; returns what came of the last."""
-        last = Accept.DONE
+    def _accept_batch(self) -> AcceptResult:
+        """Accept up to `ACCEPT_BATCH` waiting connections; return the result of the last accept."""
+        result = AcceptResult.DONE
         for _ in range(ACCEPT_BATCH):
-            last = self._accept_one()
-            if last is not Accept.DONE:
+            result = self._accept_one()
+            if result is not AcceptResult.DONE:
                 break
-        return last
+        return result
 
-    def _accept_one(self) -> Accept:
-        """Accept a connection, in place of the least active one if the budget is used up."""
+    def _accept_one(self) -> AcceptResult:
+        """Accept a connection; if the budget is used up, evict another one for it."""
         if self.listener is None:
-            return Accept.NONE_WAITS
+            return AcceptResult.NONE_WAITING
         full = len(self.connections) >= self.budget
         eviction_candidate = self.timeouts.eviction_candidate() if full else None
         if full and eviction_candidate is None:
-            self._pause_accepting()  # until a client leaves or is idle
-            return Accept.NO_ROOM
+            self._pause_accepting()  # until a client disconnects or becomes idle
+            return AcceptResult.NO_ROOM
         try:
             sock, _ = self.listener.accept()
         except (BlockingIOError, InterruptedError):
-            return Accept.NONE_WAITS
+            return AcceptResult.NONE_WAITING
         except OSError as error:
             if error.errno in CLIENT_GONE:
-                return Accept.DONE
-            # Guards against EMFILE ending the accepting for good, or filling the loop with failures.
+                return AcceptResult.DONE
+            # Guards against EMFILE stopping accepts for good, or causing a busy loop of failing accepts.
             if not self.accept_failing:
                 log.warning("accept: %s", errno.errorcode.get(error.errno or 0, "error"))
             self.accept_failing = True
             self._pause_accepting()
             self.node.loop.call_later(RETRY_S, self._resume_accepting)
-            return Accept.FAILED
+            return AcceptResult.FAILED
         self.accept_failing = False
         if eviction_candidate is not None:
             self._forget(eviction_candidate)
             eviction_candidate.abort()
         sock.setblocking(False)
-        with contextlib.suppress(OSError):  # the client may have gone: that shows as it is read
+        with contextlib.suppress(OSError):  # the client may have gone, which the first read reports
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         connection = ClientConnection(self)
         self.connections.add(connection)
         task = self.node.loop.create_task(self._attach(connection, sock))
-        self.tasks.add(task)  # the loop holds tasks only weakly
+        self.tasks.add(task)  # the event loop keeps only weak references to tasks
         task.add_done_callback(self.tasks.discard)
-        return Accept.DONE
+        return AcceptResult.DONE
 
     async def _attach(self, connection: ClientConnection, sock: socket.socket) -> None:
-        """Put an accepted socket under its connection object."""
+        """Attach an accepted socket to its connection object."""
         try:
             await self.node.loop.connect_accepted_socket(lambda: connection, sock)
         except OSError:
             sock.close()
             self.on_closed(connection)
 
-    # What connections ask and report.
+    # Called by connections.
 
     def has_room(self, request: Request) -> bool:
-        """Whether one more request may be open, by their number and the memory of their commands."""
+        """Return whether one more request fits the limits on open requests and on their memory."""
         node = self.node
         return (
             len(node.requests) < self.max_open and node.held_bytes + request.held_bytes <= self.max_held_bytes
         )
 
     def on_idle(self, connection: ClientConnection) -> None:
-        """All of a client's requests are answered; it may give way to a new one."""
+        """Record that all requests of a client are answered, so that it may be evicted for a new one."""
         self.timeouts.idle.pop(connection, None)
-        self.timeouts.enter(self.timeouts.idle, connection)  # last: the one used most recently
+        self.timeouts.enter(self.timeouts.idle, connection)  # at the end, as the most recently active
         self._resume_accepting()
 
     def on_closed(self, connection: ClientConnection) -> None:
-        """Forget a client; another may be accepted."""
+        """Remove a closed connection, and accept others again."""
         self._forget(connection)
         if self.all_closed is not None and not self.connections:
             self.all_closed.set()
@@ -157,7 +157,10 @@
     # Draining.
 
     def set_in_service(self, in_service: bool) -> None:
-        """Out of service, drain once the front has had time to hear of it; new connections may still come."""
+        """Schedule the drain when going out of service, or cancel it when going back into service.
+
+        The delay gives the load balancer in front time to react; new connections may still arrive meanwhile.
+        """
         if self.drain_timer is not None:
             self.drain_timer.cancel()
             self.drain_timer = None
@@ -167,7 +170,7 @@
             self.drain_timer = self.node.loop.call_later(DRAIN_DELAY_S, self.drain)
 
     def drain(self) -> None:
-        """Close the idle connections now, and each of the others with its last answer."""
+        """Close idle connections now, and each other connection after its last reply."""
         self._set_draining(True)
         for connection in list(self.timeouts.idle):
             connection.close_if_idle()
@@ -177,9 +180,9 @@
         self.timeouts.set_draining(draining)
 
     async def stop(self, accept_waiting: bool) -> None:
-        """Stop listening, and drain; what waits to be accepted is reset, or else accepted first.
+        """Stop listening, and drain. Waiting connections are reset unless `accept_waiting` is set.
 
-        Guards against connections that this machine has accepted being reset for one call that failed.
+        Guards against one failed accept resetting connections that the kernel has already established.
         """
         if accept_waiting:
             await self._accept_all()
@@ -190,16 +193,16 @@
         self.drain()
 
     async def _accept_all(self) -> None:
-        """Accept all that wait, waiting out a shortage for a short time."""
-        end = self.node.loop.time() + ACCEPT_LAST_S
-        while (last := self._accept_batch()) in (Accept.DONE, Accept.FAILED):
-            if last is Accept.FAILED:
+        """Accept all waiting connections, and retry for a short time while this machine lacks a resource."""
+        end = self.node.loop.time() + FINAL_ACCEPT_TIMEOUT_S
+        while (result := self._accept_batch()) in (AcceptResult.DONE, AcceptResult.FAILED):
+            if result is AcceptResult.FAILED:
                 if self.node.loop.time() >= end:
                     return
                 await asyncio.sleep(RETRY_S)
 
     async def wait_closed(self, limit_s: float) -> None:
-        """Wait until all connections have closed, but no longer than the limit."""
+        """Wait until all connections have closed, at most `limit_s` seconds."""
         if self.connections:
             self.all_closed = asyncio.Event()
             with contextlib.suppress(TimeoutError):
@@ -207,11 +210,11 @@
                     await self.all_closed.wait()
 
     def refuse_all(self) -> None:
-        """From now on answer every request that comes as busy, at once."""
+        """Refuse every further request immediately."""
         self.max_open = 0
 
     async def close(self) -> None:
-        """Close each connection once all that has come on it is answered, and wait for that a short time."""
+        """Close each connection once its commands are answered, and wait for that for a short time."""
         for connection in list(self.connections):
             connection.close_if_idle()
-        await self.wait_closed(CLOSE_S)
+        await self.wait_closed(CLOSE_TIMEOUT_S)
