--- a/tests/test_arrival_times.py
+++ b/tests/test_arrival_times.py
@@ -1,11 +1,11 @@
-"""When bytes came, whether they were read at once or lay in the system."""
+"""Arrival times of bytes that were read at once or waited in the socket buffer."""
 
 from __future__ import annotations
 
 from rainturn.node.arrival_times import RESOLUTION_MS, ArrivalTimes
 
 
-def test_bytes_that_lay_unread_came_when_they_were_first_seen() -> None:
+def test_unread_bytes_have_the_time_at_which_they_were_first_noted() -> None:
     times = ArrivalTimes()
     times.note_received(10, 1000.0)
     times.note_unread(20, 1100.0)
@@ -23,7 +23,7 @@
     ]
 
 
-def test_single_bytes_take_no_memory_each() -> None:
+def test_single_bytes_share_marks() -> None:
     times = ArrivalTimes()
     for number in range(10_000):
         times.note_received(1, 1000.0 + number / 100)
--- a/tests/test_audit_clients.py
+++ b/tests/test_audit_clients.py
@@ -1,4 +1,4 @@
-"""Clauses on clients at their limits: a request's time, its end, and what a bad client is owed."""
+"""Audit of client connections at their limits: deadlines, slow readers, and errors behind open requests."""
 
 from __future__ import annotations
 
@@ -12,48 +12,49 @@
 from rainturn.node.resp import pack
 from tests.sockets import WIRE, Client, Peer, World, run, served, soon
 
-SHORT_MS, LONG_MS = 700, 4000  # how long clients wait for requests that hang, and for those behind them
-SLACK_MS = 150.0  # of the time that an attempt tells its host
-LATE_MS = 400.0  # how late the machine of the tests may be
+SHORT_MS, LONG_MS = 700, 4000  # deadlines of requests that hang, and of those behind them
+SLACK_MS = 150.0  # tolerance for the remaining time that an attempt reports to its host
+LATE_MS = 400.0  # how late the test machine may be
 
 
-def _pay(client: Client, first: int, count: int, wait: int) -> None:
+def _send_pay_requests(client: Client, first: int, count: int, wait: int) -> None:
     for number in range(first, first + count):
         client.ask(b"%d" % number, b"pay", wait, body=b"x")
 
 
-def test_a_request_read_late_has_its_time_from_its_last_byte() -> None:
-    """More commands than are read at once: the time of the last ones runs while they wait for the others."""
+def test_deadline_of_a_request_that_is_read_late_counts_from_its_last_byte() -> None:
+    """Guards against time lost while commands wait unread, behind more commands than are read at once."""
 
     async def main() -> None:
         loop = asyncio.get_running_loop()
-        told: dict[bytes, tuple[float, float]] = {}
+        received: dict[bytes, tuple[float, float]] = {}  # by request id: remaining time in ms, arrival in s
 
         def hang(words: list[bytes]) -> None:
             fields = dict(pair.split(b"=") for pair in words[3].split(b","))
-            told[words[2]] = float(fields[b"d"]), loop.time()
+            received[words[2]] = float(fields[b"d"]), loop.time()
 
         async with World(hang, wire={"limits": WIRE["limits"] | {"max_attempts": 1}}) as world:
             client = await world.client()
-            _pay(client, 0, 40, SHORT_MS)  # 32 are read at once; 8 wait until the time of all is over
+            # 32 are read at once; 8 wait until all deadlines have passed.
+            _send_pay_requests(client, 0, 40, SHORT_MS)
             await asyncio.sleep(0.2)
             sent_at = loop.time()
-            _pay(client, 40, 8, LONG_MS)  # these lie in the system's buffer until then
+            _send_pay_requests(client, 40, 8, LONG_MS)  # these stay in the socket buffer until then
             answers = [str(await client.answer()) for _ in range(40)]
             assert answers[32:] == ["-BUSY"] * 8, answers
-            assert not [ident for ident in told if 32 <= int(ident) < 40]
-            while len(told) < 40:
+            assert not [request_id for request_id in received if 32 <= int(request_id) < 40]
+            while len(received) < 40:
                 await asyncio.sleep(0.01)
-            for ident, (told_ms, received_at) in told.items():
-                if int(ident) >= 40:
+            for request_id, (remaining_ms, received_at) in received.items():
+                if int(request_id) >= 40:
                     left_ms = LONG_MS - (received_at - sent_at) * 1000
-                    assert told_ms <= left_ms + SLACK_MS + LATE_MS / 2
+                    assert remaining_ms <= left_ms + SLACK_MS + LATE_MS / 2
 
     run(main())
 
 
-def test_half_a_command_behind_an_open_request_gets_its_error_within_3_s() -> None:
-    """Who stops in the middle of a request and stays; the request before it gets its answer, too."""
+def test_incomplete_command_behind_an_open_request_gets_its_error_within_3_s() -> None:
+    """A client stops inside a command and stays connected; the request before it is answered too."""
 
     async def main() -> None:
         loop = asyncio.get_running_loop()
@@ -71,7 +72,7 @@
 
 
 class SlowReader:
-    """A client that asks much at once and reads little at a time."""
+    """A client that sends many requests at once and reads little at a time."""
 
     def __init__(self, raw: socket.socket) -> None:
         self.raw, self.answers = raw, list[Any]()
@@ -88,7 +89,7 @@
             await loop.sock_sendall(self.raw, command)
 
     async def read(self, pause_s: float, sends: bytes = b"") -> None:
-        """Read to the end of the connection; `sends` goes out with every piece that is read."""
+        """Read until the connection ends, and send `sends` after every piece that is read."""
         loop = asyncio.get_running_loop()
         while data := await soon(loop.sock_recv(self.raw, 8000)):
             self.parser.feed(data)
@@ -99,8 +100,8 @@
             await asyncio.sleep(pause_s)
 
 
-def test_a_client_that_reads_slowly_gets_all_answers_before_its_error() -> None:
-    """Garbage behind many requests whose answers are long: what was taken is owed, whoever sent it."""
+def test_client_that_reads_slowly_gets_all_replies_before_its_error() -> None:
+    """Guards against dropping the long replies of accepted requests when garbage follows them."""
 
     async def main() -> None:
         value = b"v" * 60_000
@@ -109,15 +110,15 @@
                 client = SlowReader(raw)
                 await client.ask(world.address, 30)
                 raw.send(b"garbage\r\n")
-                await client.read(0.01, sends=b"x")  # 2 s and more for 1.8 MB; it never stops sending
+                await client.read(0.01, sends=b"x")  # at least 2 s for 1.8 MB; the client never stops sending
             assert client.answers[:30] == [value] * 30
             assert "expected" in str(client.answers[30])
 
     run(main())
 
 
-def test_a_request_that_crosses_the_close_takes_no_answer_with_it() -> None:
-    """The close over unread bytes is a reset, which drops all that has not left the system yet."""
+def test_request_that_crosses_the_close_does_not_drop_replies() -> None:
+    """Guards against a close with unread input: it sends a reset, which drops replies not sent yet."""
 
     async def main() -> None:
         value = b"v" * 60_000
@@ -126,7 +127,7 @@
                 client = SlowReader(raw)
                 await client.ask(world.address, 30)
                 while len(world.parts.clients.timeouts.idle) < 1:
-                    await asyncio.sleep(0.01)  # all 30 are answered, and wait in the system's buffers
+                    await asyncio.sleep(0.01)  # all 30 are answered; replies wait in the socket buffers
                 world.parts.clients.drain()
                 await asyncio.sleep(0.05)
                 with contextlib.suppress(OSError):
@@ -138,11 +139,11 @@
     run(main())
 
 
-def test_a_request_behind_a_long_value_is_not_taken_before_that_is_whole() -> None:
-    """A value that breaks off ends its connection: what had been read behind it would be lost."""
+def test_request_behind_a_long_value_is_not_executed_before_the_value_is_complete() -> None:
+    """Guards against losing requests behind a value that is cut short, which ends its connection."""
 
     async def main() -> None:
-        breaks = asyncio.Event()
+        cut = asyncio.Event()
         writers: list[asyncio.StreamWriter] = []
 
         async def handler(words: list[bytes]) -> bytes | None:
@@ -150,16 +151,16 @@
                 return served()
             writers.append(await world.hosts[0].connected.get())
             writers[0].write(b"*3\r\n$1000000\r\n" + b"v" * 100_000)
-            await breaks.wait()
+            await cut.wait()
             return Peer.RESET
 
         async with World(handler) as world:
             client = await world.client()
             client.ask(b"long")
-            assert await soon(client.reader.read(1))  # it has begun
+            assert await soon(client.reader.read(1))  # the value has begun
             client.ask(b"behind")
             await asyncio.sleep(0.1)
-            breaks.set()
+            cut.set()
             with contextlib.suppress(ConnectionError):
                 while await soon(client.reader.read(1 << 16)):
                     pass
@@ -169,7 +170,7 @@
     run(main())
 
 
-def test_a_request_behind_a_long_value_is_served_after_it() -> None:
+def test_request_behind_a_long_value_is_served_after_it() -> None:
     async def main() -> None:
         value = b"v" * 300_000
         async with World(lambda words: served(value if words[2] == b"long" else b"value")) as world:
@@ -183,8 +184,8 @@
     run(main())
 
 
-def test_a_slow_reader_that_is_told_to_go_does_not_give_way_before_it_has_its_answers() -> None:
-    """A crowd of new clients, as many as there may be, while answers are on their way to it."""
+def test_slow_reader_whose_connection_is_closing_is_not_evicted_before_it_has_its_replies() -> None:
+    """Guards against evicting it for new clients beyond the budget while replies are in transit to it."""
 
     async def main() -> None:
         value = b"v" * 60_000
@@ -197,7 +198,7 @@
                     await asyncio.sleep(0.01)
                 crowd = [await world.client() for _ in range(2 * world.parts.clients.budget)]
                 await client.read(0.002, sends=b"x")
-            # Hosts get few of so few descriptors: some requests are refused, and that is an answer, too.
+            # Few descriptors leave few connections to hosts: some requests are refused, which is a reply too.
             assert len(client.answers) == 31
             assert all(answer == value or str(answer) == "BUSY" for answer in client.answers[:30])
             for other in crowd:
--- a/tests/test_node_clients.py
+++ b/tests/test_node_clients.py
@@ -1,4 +1,4 @@
-"""What clients see of the node."""
+"""Behaviour of the gateway towards clients."""
 
 from __future__ import annotations
 
@@ -21,11 +21,11 @@
 from tests.sockets import WIRE, Client, FailingListener, Held, Peer, Totals, World, reset, run, served, soon
 
 
-def _silent(words: list[bytes]) -> bytes | None:
+def _never_answer(words: list[bytes]) -> bytes | None:
     return None
 
 
-def test_a_value_comes_back_as_the_host_gave_it_and_the_command_goes_on_unchanged_but_for_d() -> None:
+def test_value_is_returned_unchanged_and_command_is_forwarded_with_only_d_changed() -> None:
     async def main() -> None:
         async with World(lambda words: served(b"a\r\nb")) as world:
             client = await world.client()
@@ -41,7 +41,7 @@
     run(main())
 
 
-def test_answers_come_in_the_order_of_the_commands() -> None:
+def test_replies_are_sent_in_the_order_of_the_commands() -> None:
     async def main() -> None:
         release = asyncio.Event()
 
@@ -62,7 +62,7 @@
     run(main())
 
 
-def test_bad_commands_get_an_error_and_the_connection_lives() -> None:
+def test_invalid_commands_get_an_error_and_the_connection_stays_open() -> None:
     async def main() -> None:
         async with World(lambda words: served()) as world:
             client = await world.client()
@@ -109,7 +109,7 @@
     run(main())
 
 
-def test_what_is_no_command_gets_an_error_and_a_close_and_others_live() -> None:
+def test_protocol_errors_get_an_error_and_close_only_their_own_connection() -> None:
     async def main() -> None:
         async with World(lambda words: served()) as world:
             other = await world.client()
@@ -132,7 +132,7 @@
                 assert str(await client.answer()).startswith("-ERR"), raw[:20]
                 try:
                     await client.answer()
-                    raise AssertionError("the connection lives")
+                    raise AssertionError("the connection is still open")
                 except EOFError:
                     client.writer.close()
             other.ask(b"good")
@@ -141,45 +141,45 @@
     run(main())
 
 
-def _limits(monkeypatch: pytest.MonkeyPatch, **limits: float) -> None:
+def _set_time_limits(monkeypatch: pytest.MonkeyPatch, **limits: float) -> None:
     for name, value in ({"SWEEP_INTERVAL_S": 0.01} | limits).items():
         monkeypatch.setattr(client_timeouts, name, value)
 
 
-async def _ends(client: Client) -> bool:
-    """Whether the connection is closed with nothing said; a hang ends as a failure."""
+async def _closes_silently(client: Client) -> bool:
+    """Return whether the connection closes without a reply; fail if it stays open."""
     with contextlib.suppress(ConnectionError):
         return not await soon(client.reader.read())
     return True
 
 
-def test_silence_half_a_command_and_rest_have_limits_in_time(monkeypatch: pytest.MonkeyPatch) -> None:
-    _limits(monkeypatch, VALID_COMMAND_TIMEOUT_S=0.5, COMMAND_TIMEOUT_S=0.05, IDLE_TIMEOUT_S=0.05)
+def test_silent_incomplete_and_idle_connections_time_out(monkeypatch: pytest.MonkeyPatch) -> None:
+    _set_time_limits(monkeypatch, VALID_COMMAND_TIMEOUT_S=0.5, COMMAND_TIMEOUT_S=0.05, IDLE_TIMEOUT_S=0.05)
 
     async def main() -> None:
         async with World(held := Held()) as world:
-            served_one, silent, half, line = [await world.client() for _ in range(4)]
-            served_one.ask(b"1")
-            half.writer.write(b"*4\r\n$8\r\nAPI.R")
-            line.writer.write(b"*")
-            assert await _ends(silent)
-            for client in (half, line):
+            served_client, silent, partial_command, partial_length = [await world.client() for _ in range(4)]
+            served_client.ask(b"1")
+            partial_command.writer.write(b"*4\r\n$8\r\nAPI.R")
+            partial_length.writer.write(b"*")
+            assert await _closes_silently(silent)
+            for client in (partial_command, partial_length):
                 assert "in time" in str(await client.answer())
-                assert await _ends(client)
-            held.released.set()  # nobody is closed while a request is open
-            assert await served_one.answer() == b"value"
-            assert await _ends(served_one)
+                assert await _closes_silently(client)
+            held.released.set()  # no connection is closed while a request is open
+            assert await served_client.answer() == b"value"
+            assert await _closes_silently(served_client)
             timeouts = world.parts.clients.timeouts
             assert not (timeouts.awaiting_valid_command or timeouts.idle or timeouts.incomplete)
 
     run(main())
 
 
-def test_an_error_behind_open_requests_is_told_in_time(monkeypatch: pytest.MonkeyPatch) -> None:
-    _limits(monkeypatch, QUEUED_ERROR_TIMEOUT_S=0.05)
+def test_error_behind_open_requests_is_sent_within_its_time_limit(monkeypatch: pytest.MonkeyPatch) -> None:
+    _set_time_limits(monkeypatch, QUEUED_ERROR_TIMEOUT_S=0.05)
 
     async def main() -> None:
-        async with World(_silent) as world:
+        async with World(_never_answer) as world:
             client = await world.client()
             client.ask(b"1")
             client.ask(b"2", b"pay", body=b"x")
@@ -192,8 +192,8 @@
     run(main())
 
 
-async def _not_reading(world: World) -> Client:
-    """A client that asks a thousand times and reads nothing."""
+async def _client_that_never_reads(world: World) -> Client:
+    """Return a client that sends a thousand requests and reads nothing."""
     client = Client(*await asyncio.open_connection(*world.address, limit=1024))
     client.writer.transport.pause_reading()  # type: ignore[attr-defined]
     for number in range(1000):
@@ -201,19 +201,19 @@
     return client
 
 
-def test_a_client_that_leaves_its_answers_unread_is_ended(monkeypatch: pytest.MonkeyPatch) -> None:
-    _limits(monkeypatch, WRITE_STALL_TIMEOUT_S=0.05)
+def test_client_that_leaves_its_replies_unread_is_disconnected(monkeypatch: pytest.MonkeyPatch) -> None:
+    _set_time_limits(monkeypatch, WRITE_STALL_TIMEOUT_S=0.05)
 
     async def main() -> None:
         async with World(lambda words: served(b"x" * 60_000)) as world:
-            await _not_reading(world)
+            await _client_that_never_reads(world)
             while world.parts.clients.connections:
                 await asyncio.sleep(0.01)
 
     run(main())
 
 
-def test_an_id_that_is_open_is_taken_once_and_is_free_again_afterwards() -> None:
+def test_request_id_is_rejected_while_it_is_open_and_accepted_afterwards() -> None:
     async def main() -> None:
         async with World(held := Held()) as world:
             client, other = await world.client(), await world.client()
@@ -230,7 +230,7 @@
     run(main())
 
 
-def test_one_who_only_errs_is_sent_away() -> None:
+def test_client_that_sends_only_invalid_commands_is_disconnected() -> None:
     async def main() -> None:
         async with World(lambda words: served()) as world:
             client = await world.client()
@@ -238,12 +238,12 @@
                 client.send(b"NONSENSE")
             answers = [await client.answer() for _ in range(client_connection.MAX_ERRORS + 1)]
             assert answers[-1] == "-ERR too many errors" and answers[0] == "-ERR unknown command"
-            assert await _ends(client)
+            assert await _closes_silently(client)
 
     run(main())
 
 
-def test_a_silent_crowd_does_not_push_out_one_who_was_served() -> None:
+def test_many_silent_clients_do_not_evict_a_client_that_was_served() -> None:
     async def main() -> None:
         async with World(lambda words: served()) as world:
             world.parts.clients.budget = 4
@@ -252,14 +252,14 @@
             assert await good.answer() == b"value"
             crowd = [await world.client() for _ in range(40)]
             for silent in crowd[:30]:
-                assert await _ends(silent)
+                assert await _closes_silently(silent)
             good.ask(b"2")
             assert await good.answer() == b"value"
 
     run(main())
 
 
-def test_a_malformed_end_does_not_lose_the_request_before_it() -> None:
+def test_protocol_error_does_not_lose_the_request_before_it() -> None:
     async def main() -> None:
         async with World(held := Held()) as world:
             client = await world.client()
@@ -273,7 +273,7 @@
     run(main())
 
 
-def test_ping_is_answered_only_when_there_is_a_host() -> None:
+def test_ping_succeeds_only_when_there_is_a_host() -> None:
     async def main() -> None:
         async with World() as world:
             client = await world.client()
@@ -294,10 +294,10 @@
     run(main())
 
 
-def test_a_client_that_goes_frees_all_its_state_and_the_module_hears_of_it() -> None:
+def test_disconnect_frees_all_state_of_a_client_and_is_reported_to_the_decision_module() -> None:
     async def main() -> None:
         gone = asyncio.Event()
-        async with World(_silent) as world:
+        async with World(_never_answer) as world:
             node = world.parts.node
             handle = node.module.handle
 
@@ -319,8 +319,8 @@
     run(main())
 
 
-def _held(world: World) -> list[Attempt]:
-    """Attempts that wait for a connection, from now on, until the test starts them."""
+def _hold_attempts(world: World) -> list[Attempt]:
+    """Hold back all further attempts until the test starts them, and return their list."""
     held: list[Attempt] = []
 
     def hold(attempt: Attempt) -> None:
@@ -331,17 +331,17 @@
 
 
 @pytest.mark.parametrize("end", ["close", "reset"])
-def test_a_client_that_leaves_while_its_body_waits_for_a_connection_is_not_sent_on(end: str) -> None:
-    """Nothing is read from it while so much of the body waits, so its end is not read either."""
+def test_request_is_not_sent_if_its_client_leaves_while_its_body_waits_for_a_connection(end: str) -> None:
+    """Reading is paused while much of the body waits, so the end of stream is not read either."""
 
     async def main() -> None:
         async with World(lambda words: served()) as world:
             node, start = world.parts.node, world.parts.pools.start
-            held, client = _held(world), await world.client()
+            held, client = _hold_attempts(world), await world.client()
             head = b"c=pay,t=basic,d=5000,units=1,spread=1,first=0"
             command = pack([b"API.WRITE", b"00000000b4d65521", b"1", head, bytes(200_000)])
             client.writer.write(command[:150_000])
-            (connection,) = await _connections(world)
+            (connection,) = await _wait_for_connections(world)
             while not (held and connection.reading_paused):
                 await asyncio.sleep(0)
             if end == "reset":
@@ -350,8 +350,8 @@
                 client.writer.close()
             while not held[0].request.done:
                 await asyncio.sleep(0.01)
-            start(held[0])  # its connection comes up
-            while node.requests or world.parts.clients.connections:  # the loop tells of an end a turn later
+            start(held[0])  # its connection is established
+            while node.requests or world.parts.clients.connections:  # reported one loop iteration later
                 await asyncio.sleep(0.01)
             assert world.hosts[0].commands.empty() and not node.held_bytes and not node.unanswered
             assert not node.module.open
@@ -359,21 +359,21 @@
     run(main())
 
 
-async def _connections(world: World) -> list[client_connection.ClientConnection]:
+async def _wait_for_connections(world: World) -> list[client_connection.ClientConnection]:
     while not world.parts.clients.connections:
         await asyncio.sleep(0)
     return list(world.parts.clients.connections)
 
 
-def test_what_a_client_sent_that_has_gone_is_not_taken_from_the_buffers_any_more() -> None:
-    """Its first requests fill what may be open at once; the others and its end wait unread."""
+def test_buffered_commands_of_a_disconnected_client_are_not_executed() -> None:
+    """The first requests reach the limit of open ones; the others and the end of stream stay unread."""
 
     async def main() -> None:
-        async with World(_silent) as world:
+        async with World(_never_answer) as world:
             node, client = world.parts.node, await world.client()
             for n in range(client_connection.MAX_PENDING + 8):
                 client.ask(b"%d" % n, wait=3000)
-            (connection,) = await _connections(world)
+            (connection,) = await _wait_for_connections(world)
             while not connection.reading_paused:
                 await asyncio.sleep(0)
             client.writer.close()
@@ -386,29 +386,29 @@
     run(main())
 
 
-def test_an_end_counts_at_once_also_while_answers_wait_to_be_written() -> None:
+def test_end_of_stream_takes_effect_while_replies_wait_to_be_written() -> None:
     async def main() -> None:
         async with World(lambda words: None if words[2] == b"2" else served(bytes(60_000))) as world:
-            client = await _small_window(world)
+            client = await _client_with_small_receive_buffer(world)
             client.ask(b"1")
             client.ask(b"2", wait=4000)
-            (connection,) = await _connections(world)
-            ours = connection.transport.get_extra_info("socket")
-            ours.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
+            (connection,) = await _wait_for_connections(world)
+            gateway_socket = connection.transport.get_extra_info("socket")
+            gateway_socket.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
             while not connection.transport.get_write_buffer_size():
                 await asyncio.sleep(0)
             assert len(connection.pending) == 1 and not connection.reading_paused
             client.writer.write_eof()
             while world.parts.clients.connections:
                 await asyncio.sleep(0.01)
-            (request,) = world.parts.node.requests.values()  # its attempt is still out
+            (request,) = world.parts.node.requests.values()  # its attempt is still open
             assert request.done and world.parts.node.clock.now() < request.deadline - 500.0
 
     run(main())
 
 
-async def _small_window(world: World) -> Client:
-    """A client that reads nothing, and for which the system holds little."""
+async def _client_with_small_receive_buffer(world: World) -> Client:
+    """Return a client that reads nothing and has a small kernel receive buffer."""
     sock = socket.socket()
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
     sock.setblocking(False)
@@ -418,29 +418,29 @@
     return client
 
 
-@pytest.mark.parametrize("what", ["counter", "connection", "another"])
-def test_a_request_whose_client_left_while_it_waited_is_not_sent_on_and_gives_back_what_it_held(
-    what: str, monkeypatch: pytest.MonkeyPatch
+@pytest.mark.parametrize("waits_for", ["counter", "connection", "another"])
+def test_request_whose_client_left_while_it_waited_is_not_sent_and_returns_its_units(
+    waits_for: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(quota, "reconcile", lambda *_: None)  # tells of a window that began before
+    monkeypatch.setattr(quota, "reconcile", lambda *_: None)  # it would report an earlier window
 
     async def main() -> None:
         release, totals = asyncio.Event(), Totals()
 
         async def counter(words: list[bytes]) -> bytes:
-            if what == "counter":
+            if waits_for == "counter":
                 await release.wait()
             return totals(words)
 
         wire = {"family_info": WIRE["family_info"] | {"counter_timeout_ms": 20_000}}
-        async with World(_silent, counter=counter, wire=wire) as world:
+        async with World(_never_answer, counter=counter, wire=wire) as world:
             node, start, client = world.parts.node, world.parts.pools.start, await world.client()
-            if what == "another":
+            if waits_for == "another":
                 client.ask(b"0", wait=3000)
                 await soon(world.hosts[0].commands.get())
-            held = _held(world)
+            held = _hold_attempts(world)
             client.ask(b"1", wait=3000)
-            if what == "counter":
+            if waits_for == "counter":
                 await soon(world.counter.commands.get())
             else:
                 while not held:
@@ -454,17 +454,18 @@
             (customer,) = node.module.customers.values()
             while customer.call is not None or customer.waiting:
                 await asyncio.sleep(0.01)
-            while len(node.requests) > (what == "another"):
+            while len(node.requests) > (waits_for == "another"):
                 await asyncio.sleep(0.01)
             assert world.hosts[0].commands.empty() and not node.module.open
             total = totals.totals[b"%d" % units_name(customer.key, customer.window)]
-            assert total + customer.unreported == (1 if what == "another" else 0)  # that one came to a host
+            # The other request, if there is one, reached a host.
+            assert total + customer.unreported == (1 if waits_for == "another" else 0)
 
     run(main())
 
 
-class Leaver:
-    """A client whose end comes to the gateway's machine in the very moment in which it leaves."""
+class DepartingClient:
+    """A client whose hang-up reaches the gateway's machine as soon as it leaves."""
 
     def __init__(self, world: World, how: str) -> None:
         self.sock, self.how = socket.create_connection(world.address), how
@@ -484,51 +485,53 @@
             self.sock.close()
 
 
-async def _rested(world: World, count: int) -> None:
-    """So many connections at rest and settled to each host."""
+async def _add_idle_connections(world: World, count: int) -> None:
+    """Add `count` idle connections to each host that have been idle for some time."""
     for pool in world.parts.pools.pools.values():
         for _ in range(count):
-            _, up = await asyncio.get_running_loop().create_connection(
+            _, connection = await asyncio.get_running_loop().create_connection(
                 partial(HostConnection, pool, pool.address), *pool.address
             )
-            pool.add_connection(up)
-            up.idle_since -= 1000.0
+            pool.add_connection(connection)
+            connection.idle_since -= 1000.0
 
 
 @pytest.mark.parametrize("how", ["close", "reset", "end"])
 @pytest.mark.parametrize(
     "wait", ["counter", "connect", "rested", "body", "repeat", "hosts", "unread", "behind"]
 )
-def test_nothing_begins_for_a_client_whose_end_has_come_but_is_not_read_yet(wait: str, how: str) -> None:
-    """What a request waited for comes in the turn of the loop in which its client's end has come as well."""
+def test_no_attempt_begins_for_a_client_whose_hangup_has_arrived_but_is_not_read_yet(
+    wait: str, how: str
+) -> None:
+    """What the request waits for arrives in the same loop iteration as the hang-up of its client."""
 
     async def main() -> None:
-        async with World(_silent, _silent) as world:
-            node, pools, leaver = world.parts.node, world.parts.pools, Leaver(world, how)
-            start, held, before = pools.start, _held(world), 0
+        async with World(_never_answer, _never_answer) as world:
+            node, pools, departing = world.parts.node, world.parts.pools, DepartingClient(world, how)
+            start, held, sent_before = pools.start, _hold_attempts(world), 0
             calls = list[int]()
             if wait == "counter":
                 node.counter.call = lambda name, amount, ttl: calls.append(name)  # type: ignore[method-assign]
             if wait == "hosts":
                 numbers = list(node.module.hosts)
                 node.feed(it.HostList(it.ListKind.FULL))
-            if wait == "unread":  # more than may be open, so that nothing is read, then what goes first
+            if wait == "unread":  # more than may be open, so that reading is paused
                 for _ in range(client_connection.MAX_PENDING + 4):
-                    leaver.ask()
+                    departing.ask()
             elif wait == "body":
                 fields = b"c=pay,t=basic,d=3000,units=1,spread=1,first=0"
                 command = pack([b"API.WRITE", b"00000000b4d65521", b"b", fields, bytes(200_000)])
-                leaver.sock.setblocking(False)
+                departing.sock.setblocking(False)
                 left = memoryview(command)[:150_000]
                 while left:
                     with contextlib.suppress(BlockingIOError):
-                        left = left[leaver.sock.send(left) :]
+                        left = left[departing.sock.send(left) :]
                     await asyncio.sleep(0)
             else:
-                leaver.ask()
+                departing.ask()
             if wait == "behind":
-                leaver.ask()
-            (connection,) = await _connections(world)
+                departing.ask()
+            (connection,) = await _wait_for_connections(world)
             while (
                 len(held)
                 < {"counter": 0, "hosts": 0, "unread": client_connection.MAX_PENDING, "behind": 2}.get(
@@ -545,13 +548,13 @@
                 start(held.pop(0))
                 while sum(host.commands.qsize() for host in world.hosts) < 1:
                     await asyncio.sleep(0)
-                before = 1
+                sent_before = 1
             pools.start = start  # type: ignore[method-assign]
-            if wait != "connect":  # else each attempt opens one, and the loop has a turn to read the end
-                await _rested(world, 40)
-            leaver.leave()
+            if wait != "connect":  # a new connection would take an iteration, in which the hang-up is read
+                await _add_idle_connections(world, 40)
+            departing.leave()
             if wait == "counter":
-                for name in calls:  # the last window's total is asked for as well
+                for name in calls:  # the total of the last window is requested as well
                     node.feed(it.CountAnswered(name, it.Outcome.OK, 1.0, 2.0))
             elif wait == "hosts":
                 node.feed(
@@ -568,23 +571,23 @@
                 start(attempt)
             assert (
                 sum(c.attempt is not None for pool in pools.pools.values() for c in pool.connections)
-                <= before
+                <= sent_before
             )
             while world.parts.clients.connections or any(p.waiting for p in pools.pools.values()):
                 await asyncio.sleep(0.005)
-            for _ in range(20):  # what had been written would come
+            for _ in range(20):  # time for any written command to arrive
                 await asyncio.sleep(0.002)
-            assert sum(host.commands.qsize() for host in world.hosts) == before
+            assert sum(host.commands.qsize() for host in world.hosts) == sent_before
             assert not node.module.open and not node.unanswered
-            leaver.sock.close()
+            departing.sock.close()
 
     run(main())
 
 
-def test_a_request_that_only_waited_for_a_connection_is_refused_and_not_failed() -> None:
+def test_request_that_only_waited_for_a_connection_is_refused_and_not_failed() -> None:
     async def main() -> None:
         async with World(lambda words: served()) as world:
-            held, client = _held(world), await world.client()
+            held, client = _hold_attempts(world), await world.client()
             client.ask(b"1", b"pay", body=b"x")
             while not held:
                 await asyncio.sleep(0)
@@ -594,24 +597,24 @@
     run(main())
 
 
-def test_an_answer_is_written_before_the_clients_time_is_over(monkeypatch: Any) -> None:
+def test_reply_is_sent_before_the_clients_deadline(monkeypatch: Any) -> None:
     monkeypatch.setattr(client_commands, "MARGIN_MS", 400.0)
 
     async def main() -> None:
-        async with World(_silent) as world:
+        async with World(_never_answer) as world:
             client = await world.client()
             loop = asyncio.get_running_loop()
             sent = loop.time()
             client.ask(b"1", wait=800)
             client.ask(b"2", b"pay", wait=800, body=b"x")
-            assert await client.answer() == "-BUSY"  # safe to repeat
+            assert await client.answer() == "-BUSY"  # safe to try again
             assert await client.answer() == "-ERR failed"  # may have run
             assert loop.time() - sent < 0.8
 
     run(main())
 
 
-def test_a_new_client_takes_the_place_of_a_resting_one_when_descriptors_are_short() -> None:
+def test_new_client_evicts_the_longest_idle_one_when_descriptors_are_short() -> None:
     async def main() -> None:
         async with World(lambda words: served()) as world:
             world.parts.clients.budget = 2
@@ -622,14 +625,14 @@
             third = await world.client()
             third.ask(b"3")
             assert await third.answer() == b"value"
-            assert await soon(second.reader.read()) == b""  # it had rested longest
+            assert await soon(second.reader.read()) == b""  # the longest idle client
             first.ask(b"4")
             assert await first.answer() == b"value"
 
     run(main())
 
 
-def test_a_client_waits_unaccepted_while_none_rests() -> None:
+def test_client_waits_unaccepted_while_no_other_client_is_idle() -> None:
     async def main() -> None:
         async with World(held := Held()) as world:
             world.parts.clients.budget = 1
@@ -646,7 +649,7 @@
     run(main())
 
 
-def test_accepting_goes_on_after_descriptors_ran_out() -> None:
+def test_accepting_resumes_after_descriptors_ran_out() -> None:
     async def main() -> None:
         async with World(lambda words: served()) as world:
             listener = world.parts.clients.listener
@@ -661,23 +664,23 @@
     run(main())
 
 
-def test_a_client_that_never_reads_is_read_no_more(monkeypatch: Any) -> None:
+def test_gateway_stops_reading_from_a_client_that_never_reads(monkeypatch: Any) -> None:
     async def main() -> None:
         blocked = asyncio.Event()
         pause = client_connection.ClientConnection.pause_writing
 
-        def paused(connection: client_connection.ClientConnection) -> None:
+        def pause_and_signal(connection: client_connection.ClientConnection) -> None:
             pause(connection)
             blocked.set()
 
-        monkeypatch.setattr(client_connection.ClientConnection, "pause_writing", paused)
+        monkeypatch.setattr(client_connection.ClientConnection, "pause_writing", pause_and_signal)
         async with World(lambda words: served(b"x" * 60_000)) as world:
-            client = await _not_reading(world)
+            client = await _client_that_never_reads(world)
             await soon(blocked.wait())
-            assert world.parts.node.serial < 1000  # it read no more
+            assert world.parts.node.serial < 1000  # the gateway has stopped reading
             for connection in world.parts.clients.connections:
-                unread = connection.transport.get_write_buffer_size()
-                assert unread <= (1 << 16) + 60_100 * client_connection.MAX_PENDING
+                unsent_bytes = connection.transport.get_write_buffer_size()
+                assert unsent_bytes <= (1 << 16) + 60_100 * client_connection.MAX_PENDING
             client.writer.transport.resume_reading()  # type: ignore[attr-defined]
             for _ in range(1000):
                 assert len(await client.answer()) == 60_000
@@ -685,9 +688,9 @@
     run(main())
 
 
-def test_more_requests_than_may_be_open_are_turned_away() -> None:
+def test_requests_beyond_the_limit_of_open_ones_are_refused() -> None:
     async def main() -> None:
-        async with World(_silent) as world:
+        async with World(_never_answer) as world:
             world.parts.clients.max_open = 1
             client = await world.client()
             client.ask(b"1", wait=900)
@@ -699,7 +702,7 @@
     run(main())
 
 
-def test_a_refusal_says_when_to_come_back_where_that_is_known() -> None:
+def test_refusal_carries_a_backoff_where_one_is_known() -> None:
     async def main() -> None:
         plan = {"name": "basic", "price": 1, "per_second": 2, "peak_units": 1}
         async with World(lambda words: served(), wire={"plans": [plan]}) as world:
@@ -710,6 +713,6 @@
                 answers.append(await client.answer())
             assert answers[0] == b"value"
             word, _, wait = answers[-1].partition(" ")
-            assert word == "-BUSY" and 0 < int(wait) <= 500  # a unit comes every half second
+            assert word == "-BUSY" and 0 < int(wait) <= 500  # one unit is added every half second
 
     run(main())
--- a/tests/test_node_crowd.py
+++ b/tests/test_node_crowd.py
@@ -1,4 +1,4 @@
-"""The program as a whole under crowds: idle clients, many starts at once, long lists of hosts."""
+"""The whole program under load: many idle clients, many simultaneous starts, long host lists."""
 
 from __future__ import annotations
 
@@ -20,17 +20,32 @@
 from rainturn.decisions import Gateway
 from rainturn.node.host_list import parse_address
 from rainturn.settings import settings_from
-from tests.sockets import WIRE, Client, Held, Peer, Totals, World, control, entry, run, served, soon
-from tests.sockets import Discovery as Agent
-
-
-def dial(address: tuple[str, int]) -> str:
+from tests.sockets import (
+    WIRE,
+    Client,
+    Discovery,
+    Held,
+    Peer,
+    Totals,
+    World,
+    control,
+    entry,
+    run,
+    served,
+    soon,
+)
+
+
+def _format_address(address: tuple[str, int]) -> str:
     return f"{address[0]}:{address[1]}"
 
 
 @contextlib.asynccontextmanager
-async def _program(folder: Path, sockets: int, **change: Any) -> AsyncIterator[tuple[Any, Any]]:
-    """The program with so many descriptors: its process, and the addresses for clients and operators."""
+async def _running_program(folder: Path, sockets: int, **change: Any) -> AsyncIterator[tuple[Any, Any]]:
+    """Run the program with `sockets` descriptors; yield its process and the addresses that it listens on.
+
+    The address for operators comes first, then the one for clients.
+    """
     folder.mkdir(exist_ok=True)
     source = {
         "name": "n0",
@@ -57,7 +72,7 @@
         assert process.stderr is not None
         addresses: list[tuple[str, int]] = []
         while len(addresses) < 2:
-            assert (line := await soon(process.stderr.readline())), "it ended"
+            assert (line := await soon(process.stderr.readline())), "the program ended"
             if b"listening" in line:
                 addresses.append(parse_address(line.decode().split()[-1]))
         yield process, addresses
@@ -68,25 +83,28 @@
 
 
 @pytest.mark.parametrize("sockets", [192, 256, 1024])
-def test_idle_clients_that_fill_the_descriptors_keep_discovery_counter_hosts_and_control_from_nothing(
+def test_idle_clients_cannot_starve_discovery_counter_hosts_and_control_of_descriptors(
     sockets: int, tmp_path: Path
 ) -> None:
-    """They come while discovery is down; its return, a request and operators' calls still find room."""
+    """Guards against clients using up all descriptors: they connect while discovery is down.
+
+    When discovery comes back, it, a request and the operators' calls still get their connections.
+    """
 
     async def main() -> None:
         host, counter = await Peer(lambda words: served()).start(), await Peer(Totals()).start()
-        agent = await Agent().start()
-        agent.server.close()  # down: it refuses
+        discovery_server = await Discovery().start()
+        discovery_server.server.close()  # discovery is down: connections are refused
         listed = {"seq": 7, "whole": True, "hosts": [entry("h", host.dial)]}
-        async with _program(
+        async with _running_program(
             tmp_path,
             sockets,
             counter=counter.dial,
             known=listed | {"seq": 1, "hosts": []},
-            discovery=dial(agent.address),
+            discovery=_format_address(discovery_server.address),
         ) as (process, (operators, address)):
             idle: list[socket.socket] = []
-            for burst in range(4):  # the last ones push others out, at both doors at once
+            for burst in range(4):  # the last ones evict others, at both addresses at once
                 os.kill(process.pid, signal.SIGSTOP)
                 for n in range(sockets // 2 + 100):
                     idle.append(sock := socket.socket())
@@ -97,9 +115,9 @@
                 await asyncio.sleep(0.1 * (burst < 3))
             status, _ = await control(operators, "/control/ready")
             assert status == 503
-            back = await asyncio.start_server(agent._serve, *agent.address)
-            agent.put(listed)
-            await soon(agent.calls.get())
+            back = await asyncio.start_server(discovery_server._serve, *discovery_server.address)
+            discovery_server.put(listed)
+            await soon(discovery_server.calls.get())
             while (await control(operators, "/control/ready"))[0] != 200:
                 await asyncio.sleep(0.02)
             client = await Client.connect(address)
@@ -119,33 +137,37 @@
 
 
 @pytest.mark.parametrize("discovery", ["down", "silent"])
-def test_many_that_start_at_once_are_ready_soon_whatever_discovery_does(
+def test_gateways_that_start_at_once_are_ready_soon_even_without_discovery(
     discovery: str, tmp_path: Path
 ) -> None:
-    """Nine in ten within 10 s: a start serves from the list it knew, and takes little time of a core."""
+    """Nine in ten starts are to be ready within 10 s.
+
+    A start serves from the known host list, and needs little CPU time.
+    """
 
     async def main() -> None:
         host, counter = await Peer(lambda words: served()).start(), await Peer(Totals()).start()
         silent = socket.create_server(("127.0.0.1", 0), backlog=64)
-        address = dial(silent.getsockname()) if discovery == "silent" else "127.0.0.1:1"
+        address = _format_address(silent.getsockname()) if discovery == "silent" else "127.0.0.1:1"
         known = {"seq": 7, "whole": True, "hosts": [entry("h", host.dial)]}
-        took = list[float]()
+        cpu_s = list[float]()
 
         async def start(number: int) -> None:
-            async with _program(
+            async with _running_program(
                 tmp_path / str(number), 256, counter=counter.dial, known=known, discovery=address
-            ) as (process, (_, door)):
-                client = await Client.connect(door)
+            ) as (process, (_, client_address)):
+                client = await Client.connect(client_address)
                 client.send(b"PING")
                 assert await client.answer() == b"PONG"
                 times = Path(f"/proc/{process.pid}/stat").read_text().rpartition(")")[2].split()[11:13]
-                took.append(sum(map(int, times)) / os.sysconf("SC_CLK_TCK"))
+                cpu_s.append(sum(map(int, times)) / os.sysconf("SC_CLK_TCK"))
                 client.ask(b"1", customer=number)
                 assert await client.answer() == b"value"
                 client.writer.close()
 
         await asyncio.gather(*map(start, range(20)))
-        assert len(took) == 20 and sorted(took)[17] < 2.0  # of a core, however many share it here
+        # CPU time, so that the number of processes that share a core here does not matter.
+        assert len(cpu_s) == 20 and sorted(cpu_s)[17] < 2.0
         silent.close()
         for peer in (host, counter):
             peer.server.close()
@@ -153,14 +175,17 @@
     run(main())
 
 
-def test_a_start_and_a_request_need_no_thread_but_one(tmp_path: Path) -> None:
-    """A start was once seen held in a futex: with one thread there is nobody here to wait for."""
+def test_start_and_request_use_a_single_thread(tmp_path: Path) -> None:
+    """Guards against a start that hangs in a futex: a single thread has no other one to wait for."""
 
     async def main() -> None:
         host, counter = await Peer(lambda words: served()).start(), await Peer(Totals()).start()
         known = {"seq": 7, "whole": True, "hosts": [entry("h", host.dial)]}
-        async with _program(tmp_path, 256, counter=counter.dial, known=known) as (process, (_, door)):
-            client = await Client.connect(door)
+        async with _running_program(tmp_path, 256, counter=counter.dial, known=known) as (
+            process,
+            (_, client_address),
+        ):
+            client = await Client.connect(client_address)
             client.ask(b"1")
             assert await client.answer() == b"value"
             assert len(os.listdir(f"/proc/{process.pid}/task")) == 1
@@ -171,17 +196,17 @@
     run(main())
 
 
-def test_a_list_of_1024_hosts_is_taken_up_and_each_can_be_sent_to() -> None:
-    """Indented too, and with 1024 gateways in the settings."""
+def test_list_of_1024_hosts_is_applied_and_its_hosts_are_used() -> None:
+    """The list is indented, and the settings name 1024 gateways."""
 
     async def main() -> None:
         wire = {"balancers": 1024, "me": 1023}
         held = Held()
         async with World(held, wire=wire, descriptors=256) as world:
-            agent, address = await Agent().start(), world.hosts[0].dial
-            world.parts.discovery.address = agent.address
+            discovery_server, address = await Discovery().start(), world.hosts[0].dial
+            world.parts.discovery.address = discovery_server.address
             hosts = [entry(f"host-{n}", address, "west" if n % 2 else "east") for n in range(1024)]
-            agent.put(json.dumps({"seq": 5, "whole": True, "hosts": hosts}, indent=4).encode())
+            discovery_server.put(json.dumps({"seq": 5, "whole": True, "hosts": hosts}, indent=4).encode())
             world.parts.discovery.seq = None
             world.parts.discovery.start()
             while world.parts.node.module.listed() < 1024:
@@ -195,7 +220,7 @@
             for _ in range(30):
                 assert await client.answer() == b"value"
             assert (await world.figures())["known_hosts"] == 1024
-            agent.put(
+            discovery_server.put(
                 {
                     "seq": 6,
                     "whole": False,
@@ -205,12 +230,12 @@
             while world.parts.node.module.listed() > 24:
                 await asyncio.sleep(0.01)
             await world.parts.discovery.stop()
-            agent.server.close()
+            discovery_server.server.close()
 
     run(main())
 
 
-def test_1024_gateways_reach_all_of_1024_hosts_and_each_begins_at_a_place_of_its_own() -> None:
+def test_1024_gateways_spread_their_first_requests_over_1024_hosts() -> None:
     entries = tuple(
         it.HostEntry(n, n % 5, n % 200, it.HostState.READY, order=n * 2654435761 % (1 << 32))
         for n in range(1, 1025)
@@ -218,8 +243,8 @@
     used = set()
     for number in range(1024):
         config = settings_from(WIRE | {"balancers": 1024, "me": number, "plans": []})
-        gate = Gateway(config, number)
-        gate.handle(1000.0, it.HostList(it.ListKind.CACHED, entries))
-        actions = gate.handle(1001.0, it.Arrived(1, 6000.0, 1, 0, 0, 1.0, 1024.0))
+        gateway = Gateway(config, number)
+        gateway.handle(1000.0, it.HostList(it.ListKind.CACHED, entries))
+        actions = gateway.handle(1001.0, it.Arrived(1, 6000.0, 1, 0, 0, 1.0, 1024.0))
         used |= {action.host for action in actions if isinstance(action, it.Send)}
     assert len(used) > 900
