--- a/rainturn/emulator/hollow.py
+++ b/rainturn/emulator/hollow.py
@@ -19,7 +19,7 @@
     wire_settings,
     zone_names,
 )
-from rainturn.node.counter import Counter
+from rainturn.node.counter import CounterClient
 from rainturn.node.discovery import Discovery
 from rainturn.node.gateway import Clock, Node
 from rainturn.node.host_pools import HostPools
@@ -102,7 +102,7 @@
     def _end(self, attempt: Attempt) -> None:
         self.out.pop(attempt, None)
         attempt.connection = None
-        self.node.attempt_ended(attempt, it.Outcome.OK, VALUE)
+        self.node.end_attempt(attempt, it.Outcome.OK, VALUE)
 
     def drop(self, attempt: Attempt) -> None:
         """Stop waiting for an attempt."""
@@ -131,7 +131,7 @@
         # The list is held as in a real gateway; nothing connects through these pools.
         pools = HostPools(self.node, IDLE_LIMIT_MS, 0)
         self.hosts = self.node.hosts = DrawnHosts(self.node, self.rng)
-        self.counter = self.node.counter = Counter(self.node, addresses.counter)
+        self.counter = self.node.counter = CounterClient(self.node, addresses.counter)
         self.discovery = Discovery(self.node, pools, tuple(zone_names()), addresses.discovery, seed)
         self.client = SyntheticClient()
 
@@ -146,13 +146,13 @@
 
     def request(self, draw: Draw) -> None:
         """Take one synthetic request."""
-        self.node.arrived(self.make(draw))
+        self.node.add_request(self.make(draw))
 
     def make(self, draw: Draw) -> Request:
         """A synthetic request as the node holds it, with the words that hosts would get."""
-        self.node.serial += 1
+        self.node.last_request_number += 1
         until = self.node.clock.now() + DEADLINE_MS
-        return thin_request(self.node.serial, draw, until, self.client)
+        return thin_request(self.node.last_request_number, draw, until, self.client)
 
     async def stop(self) -> None:
         """Watch no more and leave the counter."""
--- a/rainturn/node/__main__.py
+++ b/rainturn/node/__main__.py
@@ -19,7 +19,7 @@
 from rainturn.node.reload import Reload
 from rainturn.node.shutdown import finish
 from rainturn.node.succession import carried, carried_clock, carry_on
-from rainturn.node.system_errors import listening_socket
+from rainturn.node.system_errors import open_listening_socket
 
 log = logging.getLogger("rainturn.node")
 
@@ -45,16 +45,16 @@
     if state is not None:
         carry_on(parts, state)
     if listener is None:
-        own_listener = await listening_socket(config.listen, clients.BACKLOG)
+        own_listener = await open_listening_socket(config.listen, clients.BACKLOG)
         address = parts.clients.accept_from(own_listener)
     if config.control is not None:  # not earlier: a successor must not say yes to what it has yet to learn
-        control_listener = await listening_socket(config.control, control.BACKLOG)
+        control_listener = await open_listening_socket(config.control, control.BACKLOG)
         log.info("control: listening on %s:%d", *parts.control.accept_from(control_listener))
     parts.discovery.start(at_once=listener is not None)  # a successor is to be ready soon, and not stale
     loop.add_signal_handler(signal.SIGHUP, Reload(os.environ["EDGE_CONFIG"], parts, loop).begin)
     if handover is not None:
         handover.start()
-        while handover.predecessor is not None and not parts.node.ready() and not stop.is_set():
+        while handover.predecessor is not None and not parts.node.is_ready() and not stop.is_set():
             await asyncio.sleep(READY_LOOK_S)  # until then the predecessor serves alone
     if listener is not None:
         address = parts.clients.accept_from(listener)
--- a/rainturn/node/assembly.py
+++ b/rainturn/node/assembly.py
@@ -12,7 +12,7 @@
 from rainturn.node.clients import ClientListener
 from rainturn.node.configuration import Config
 from rainturn.node.control import CONNECTIONS, Answer, Control, Route
-from rainturn.node.counter import Counter
+from rainturn.node.counter import CounterClient
 from rainturn.node.discovery import Discovery
 from rainturn.node.gateway import Clock, Node
 from rainturn.node.host_pools import HostPools
@@ -56,7 +56,7 @@
     pools: HostPools
     clients: ClientListener
     discovery: Discovery
-    counter: Counter | NoCounter
+    counter: CounterClient | NoCounter
     control: Control
     room: int  # for connections of clients and hosts together
 
@@ -70,17 +70,17 @@
     """What operators may call."""
 
     def ready() -> Answer:
-        if node.ready():
+        if node.is_ready():
             return HTTPStatus.OK, "ready\n"
         return HTTPStatus.SERVICE_UNAVAILABLE, "not ready\n"
 
     def figures() -> Answer:
-        return HTTPStatus.OK, node.counters.report(
+        return HTTPStatus.OK, node.metrics.report(
             names.classes,
             {
                 "in_progress": node.in_progress(),
-                "known_hosts": node.module.listed(),
-                "skipped_hosts": node.module.skipped(),
+                "known_hosts": node.decision_module.listed(),
+                "skipped_hosts": node.decision_module.skipped(),
             },
         )
 
@@ -105,7 +105,7 @@
     node = Node(config.settings, config.seed, clock or Clock(), loop)
     budget = max(8, descriptors - RESERVE - (CONNECTIONS if config.control else 0))
     pools = node.hosts = HostPools(node, config.idle_ms, int(budget * HOSTS_PART))
-    counter = node.counter = Counter(node, config.counter) if config.counter else NoCounter()
+    counter = node.counter = CounterClient(node, config.counter) if config.counter else NoCounter()
     clients = ClientListener(node, config.names, budget - pools.budget, config.max_open, config.memory_mb)
     discovery = Discovery(node, pools, config.names.zones, config.discovery, config.seed)
     if config.known is not None:
--- a/rainturn/node/body.py
+++ b/rainturn/node/body.py
@@ -1,99 +1,99 @@
-"""A command's last value while it comes: a short one is kept whole, a longer one is passed on in pieces."""
+"""The last argument of a command while it arrives: a short one is buffered, a longer one is streamed."""
 
 from __future__ import annotations
 
 from collections.abc import Callable
 from typing import Protocol
 
-from rainturn.node.resp import WHOLE
+from rainturn.node.resp import MAX_BUFFERED_BYTES
 
 
 class Sink(Protocol):
-    """What takes the pieces: a connection to a host."""
+    """Receives the pieces of a streamed body: a connection to a host."""
 
-    unsent: bool
+    has_unsent_bytes: bool
 
-    def more(self, data: bytes) -> None:
-        """Send a piece on."""
+    def send_body_piece(self, data: bytes) -> None:
+        """Send a piece of the body."""
 
-    def complete(self) -> None:
-        """The value is whole: end the command."""
+    def end_body(self) -> None:
+        """End the command: the body is complete."""
 
 
 class Body:
-    """Pieces that wait for a sink, or go to it; what has gone is not held any more."""
+    """Holds the pieces of a body until a sink is attached; later pieces go to the sink and are not kept."""
 
     __slots__ = (
-        "words",
+        "arguments",
         "length",
-        "left",
-        "held",
-        "waiting",
+        "bytes_left",
+        "pieces",
+        "held_bytes",
         "sink",
-        "whole",
-        "over",
-        "spent",
-        "resume",
+        "fully_received",
+        "is_discarded",
+        "was_forwarded",
+        "resume_reading",
         "taken",
     )
 
-    def __init__(self, words: list[bytes], length: int) -> None:
-        self.words, self.length, self.left = words, length, length
-        self.held: list[bytes] = []
-        self.waiting = 0  # bytes of these
+    def __init__(self, arguments: list[bytes], length: int) -> None:
+        self.arguments, self.length, self.bytes_left = arguments, length, length
+        self.pieces: list[bytes] = []
+        self.held_bytes = 0  # total size of `pieces`
         self.sink: Sink | None = None
-        self.whole = self.spent = False
-        self.taken = False  # its request has begun with its head
-        self.over = False  # its request has ended: the rest is read and dropped
-        self.resume: Callable[[], None] = lambda: None  # called when more may be read
+        self.fully_received = self.was_forwarded = False
+        self.taken = False  # whether its request has begun, when only the arguments before it had arrived
+        self.is_discarded = False  # whether its request has ended: the rest is read and dropped
+        self.resume_reading: Callable[[], None] = lambda: None  # called when more may be read
 
     @property
-    def long(self) -> bool:
-        """Whether it is passed on rather than kept."""
-        return self.length > WHOLE
+    def is_streamed(self) -> bool:
+        """Whether the body is too long to be buffered."""
+        return self.length > MAX_BUFFERED_BYTES
 
-    def wants(self) -> bool:
+    def accepts_more(self) -> bool:
         """Whether more should be read from the client."""
         if self.sink is not None:
-            return not self.sink.unsent
-        return self.over or self.waiting < WHOLE
+            return not self.sink.has_unsent_bytes
+        return self.is_discarded or self.held_bytes < MAX_BUFFERED_BYTES
 
     def feed(self, data: bytes) -> None:
-        """Take a piece."""
-        self.left -= len(data)
+        """Add a piece that has arrived."""
+        self.bytes_left -= len(data)
         if self.sink is not None:
-            self.sink.more(data)
-        elif not self.over:
-            self.held.append(data)
-            self.waiting += len(data)
-
-    def end(self) -> None:
-        """The last byte has come."""
-        self.whole = True
+            self.sink.send_body_piece(data)
+        elif not self.is_discarded:
+            self.pieces.append(data)
+            self.held_bytes += len(data)
+
+    def finish_receiving(self) -> None:
+        """Mark the body as complete: its last byte has arrived."""
+        self.fully_received = True
         if self.sink is not None:
-            self.sink.complete()
+            self.sink.end_body()
 
     def attach(self, sink: Sink) -> None:
-        """Give what is held to a sink, once: it can't be sent a second time."""
-        self.sink, self.spent = sink, True
-        for piece in self.held:
-            sink.more(piece)
-        self._drop()
-        if self.whole:
-            sink.complete()
+        """Pass the held pieces to a sink. This works once: they are not kept and cannot be sent again."""
+        self.sink, self.was_forwarded = sink, True
+        for piece in self.pieces:
+            sink.send_body_piece(piece)
+        self._drop_pieces()
+        if self.fully_received:
+            sink.end_body()
 
     def detach(self) -> None:
-        """The sink takes no more."""
+        """Remove the sink, which accepts no more."""
         self.sink = None
-        self.resume()
-
-    def finish(self) -> None:
-        """Its request has ended."""
-        self.over = True
-        self._drop()
-        self.resume()
-
-    def _drop(self) -> None:
-        self.held.clear()
-        self.waiting = 0
-        self.resume()
+        self.resume_reading()
+
+    def discard_rest(self) -> None:
+        """Drop the held pieces and all that follow: the request has ended."""
+        self.is_discarded = True
+        self._drop_pieces()
+        self.resume_reading()
+
+    def _drop_pieces(self) -> None:
+        self.pieces.clear()
+        self.held_bytes = 0
+        self.resume_reading()
--- a/rainturn/node/client_commands.py
+++ b/rainturn/node/client_commands.py
@@ -1,4 +1,4 @@
-"""Reads a client's command: the words of `API.READ` and `API.WRITE` into a request, or a typed error."""
+"""Parses a client's `API.READ` or `API.WRITE` command into a request, or raises `MalformedCommand`."""
 
 from __future__ import annotations
 
@@ -11,13 +11,13 @@
 from rainturn.node.requests import Request, Responder
 from rainturn.settings import Names
 
-MARGIN_MS = 25.0  # share of a client's time left for the way back and a late event loop
+REPLY_MARGIN_MS = 25.0  # kept back from a client's time limit for the way back and a late event loop
 REQUEST_VERBS = (b"API.READ", b"API.WRITE")
 REQUIRED_FIELDS = (b"c", b"t", b"d", b"units", b"spread", b"first")
 NUMBER_FIELDS = REQUIRED_FIELDS[2:]
-MAX_DIGITS = 12  # of a number before its point
-CUSTOMERS = 1 << 33  # a customer's number is below this
-STREAMED_BODY_BYTES = 128 * 1024  # memory counted for a body that is passed on: a piece, and as much unsent
+MAX_INTEGER_DIGITS = 12  # of a number before its decimal point
+CUSTOMER_NUMBER_LIMIT = 1 << 33  # customer numbers are below this
+STREAMED_BODY_BYTES = 128 * 1024  # memory counted for a streamed body: a held piece, and as much unsent
 
 _is_customer = re.compile(rb"[0-9a-fA-F]{16}").fullmatch
 _is_decimal = re.compile(rb"[0-9]{1,12}(\.[0-9]{1,6})?").fullmatch
@@ -25,17 +25,17 @@
 
 
 class MalformedCommand(Exception):
-    """A command that cannot be served; the client gets the text as its error."""
+    """A command that cannot be served. The client gets the text as its error."""
 
 
-def _customer_number(word: bytes) -> int:
-    if not _is_customer(word) or (customer := int(word, 16)) >= CUSTOMERS:
+def _parse_customer(text: bytes) -> int:
+    if not _is_customer(text) or (customer := int(text, 16)) >= CUSTOMER_NUMBER_LIMIT:
         raise MalformedCommand("customer is not 16 hex digits of a number below 2^33")
     return customer
 
 
-def _read_fields(text: bytes) -> dict[bytes, bytes]:
-    """The values of `name=value,name=value...` by name; those that every request needs are there."""
+def _parse_fields(text: bytes) -> dict[bytes, bytes]:
+    """Parse `name=value,name=value...` into a dictionary, and check that all required fields are present."""
     pairs = text.split(b",")
     fields: dict[bytes, bytes] = {}
     for pair in pairs:
@@ -50,52 +50,54 @@
 
 
 class CommandParser:
-    """Turns the words of a command into a request."""
+    """Turns the arguments of a command into a request."""
 
     def __init__(self, node: Node, names: Names) -> None:
         self.node = node
         self.classes = {name.encode(): number for number, name in enumerate(names.classes)}
         self.plans = {name.encode(): number for number, name in enumerate(names.plans)}
 
-    def request(
-        self, words: list[bytes], client: Responder, arrived_at: float, body: Body | None = None
+    def parse_request(
+        self, arguments: list[bytes], client: Responder, arrived_at: float, body: Body | None = None
     ) -> Request:
-        """Read `API.READ|API.WRITE customer id fields [body]`, or raise `MalformedCommand`.
+        """Parse `API.READ|API.WRITE customer id fields [body]`, or raise `MalformedCommand`.
 
-        Its time counts from `arrived_at`, when its last byte came (Unix time in ms). A body that is passed on
-        comes as `body` and is not among the words.
+        The time limit of the request counts from `arrived_at`, the Unix time in ms at which its last byte
+        arrived. A streamed body is given as `body` and is not among the arguments.
         """
-        verb = words[0].upper()
+        verb = arguments[0].upper()
         if verb not in REQUEST_VERBS:
             raise MalformedCommand("unknown command")
-        if not 4 <= len(words) + (body is not None) <= 5:
+        if not 4 <= len(arguments) + (body is not None) <= 5:
             raise MalformedCommand("wrong number of arguments")
-        customer = _customer_number(words[1])
-        self._check_id(words[2])
-        fields = _read_fields(words[3])
-        number = self._request_class(verb, fields)
-        units, spread = self._amounts(fields)
-        time_limit_ms = min(float(fields[b"d"]), self.node.settings.classes[number].deadline_ms) - MARGIN_MS
+        customer = _parse_customer(arguments[1])
+        self._check_id(arguments[2])
+        fields = _parse_fields(arguments[3])
+        request_class = self._parse_request_class(verb, fields)
+        units, spread = self._parse_amounts(fields)
+        time_limit_ms = (
+            min(float(fields[b"d"]), self.node.settings.classes[request_class].deadline_ms) - REPLY_MARGIN_MS
+        )
         deadline = arrived_at + time_limit_ms
-        self.node.serial += 1
+        self.node.last_request_number += 1
         arrival = it.Arrived(
-            self.node.serial,
+            self.node.last_request_number,
             deadline,
             customer,
             self.plans[fields[b"t"]],
-            number,
+            request_class,
             units,
             spread,
             fields.get(b"r") == b"1",
             body is None,
         )
-        held_bytes = sum(map(len, words))
+        held_bytes = sum(map(len, arguments))
         if body is not None:
             deadline, held_bytes = math.inf, held_bytes + STREAMED_BODY_BYTES
-        start = 0 if words[3].startswith(b"d=") else words[3].index(b",d=") + 1
-        end = words[3].find(b",", start)
-        before, after = words[3][:start], words[3][end:] if end > 0 else b""
-        return Request(arrival, deadline, words, before, after, client, held_bytes, time_limit_ms, body)
+        start = 0 if arguments[3].startswith(b"d=") else arguments[3].index(b",d=") + 1
+        end = arguments[3].find(b",", start)
+        before, after = arguments[3][:start], arguments[3][end:] if end > 0 else b""
+        return Request(arrival, deadline, arguments, before, after, client, held_bytes, time_limit_ms, body)
 
     def _check_id(self, request_id: bytes) -> None:
         if not _is_request_id(request_id):
@@ -104,29 +106,29 @@
             # Guards against two requests that a host would take for one.
             raise MalformedCommand("a request with this id is open")
 
-    def _request_class(self, verb: bytes, fields: dict[bytes, bytes]) -> int:
-        """The number of the request's class, which goes with the verb; the plan is checked as well."""
+    def _parse_request_class(self, verb: bytes, fields: dict[bytes, bytes]) -> int:
+        """Return the number of the request's class after checking class, plan, verb and key."""
         if fields[b"c"] not in self.classes:
             raise MalformedCommand("unknown class")
         if fields[b"t"] not in self.plans:
             raise MalformedCommand("unknown plan")
-        number = self.classes[fields[b"c"]]
-        effect = self.node.settings.classes[number].effect
+        request_class = self.classes[fields[b"c"]]
+        effect = self.node.settings.classes[request_class].effect
         if (verb == b"API.READ") != (effect is it.Effect.SAFE):
             raise MalformedCommand("the class goes with the other command")
         if effect is it.Effect.KEYED and not fields.get(b"k"):
             raise MalformedCommand("k is missing")
-        return number
+        return request_class
 
-    def _amounts(self, fields: dict[bytes, bytes]) -> tuple[float, float]:
-        """The request's units, and how many gateways its customer comes through.
+    def _parse_amounts(self, fields: dict[bytes, bytes]) -> tuple[float, float]:
+        """Return the request's units and its spread: how many gateways its customer's requests come through.
 
-        Guards against a customer's quota being spoilt for all by one odd command.
+        Guards against one command with absurd numbers spoiling a customer's quota at all gateways.
         """
         for name in NUMBER_FIELDS:
             text = fields[name]
-            # Nearly all are plain digits, for which the pattern need not be tried.
-            if not (text.isdigit() and len(text) <= MAX_DIGITS) and not _is_decimal(text):
+            # Nearly all values are plain digits, which are accepted without the slower pattern.
+            if not (text.isdigit() and len(text) <= MAX_INTEGER_DIGITS) and not _is_decimal(text):
                 raise MalformedCommand(f"{name.decode()} is not a number")
         settings = self.node.settings
         units, spread, first = float(fields[b"units"]), float(fields[b"spread"]), float(fields[b"first"])
--- a/rainturn/node/client_connection.py
+++ b/rainturn/node/client_connection.py
@@ -17,7 +17,7 @@
 from rainturn.node.counters import Ending
 from rainturn.node.gateway import Node
 from rainturn.node.requests import Request
-from rainturn.node.resp import Spoilt, command, unread, unsent
+from rainturn.node.resp import ProtocolError, count_unread_bytes, count_unsent_bytes, parse_command
 
 MAX_ERRORS = 8  # commands in error on one connection; one more ends it
 MAX_PENDING = 32  # requests of one connection at once; more wait unread
@@ -103,16 +103,18 @@
                         break
                     self._end_body(body, arrived_at)
                     continue
-                if (parsed := command(data, at)) is None:
+                if (parsed := parse_command(data, at)) is None:
                     incomplete = True
                     break
                 at = parsed.end
                 commands += 1
-                if parsed.body is None:
-                    self._execute(parsed.words, self.arrivals.take(begin + at))
+                if parsed.body_length is None:
+                    self._execute(parsed.arguments, self.arrivals.take(begin + at))
                 else:
-                    self._begin_body(Body(parsed.words, parsed.body), self.arrivals.take(begin + at))
-        except Spoilt as error:
+                    self._begin_body(
+                        Body(parsed.arguments, parsed.body_length), self.arrivals.take(begin + at)
+                    )
+        except ProtocolError as error:
             self._reject(str(error))
         finally:
             self.parsing = False
@@ -146,38 +148,38 @@
         A command with a short body proves the client already now if its head can be served.
         """
         self.body = body
-        body.resume = self._update_reading
-        if body.long:
-            self._execute(body.words, arrived_at, body)
+        body.resume_reading = self._update_reading
+        if body.is_streamed:
+            self._execute(body.arguments, arrived_at, body)
         elif not self.proven:
             with contextlib.suppress(MalformedCommand):
-                self.owner.parser.request([*body.words, b""], self, arrived_at)
+                self.owner.parser.parse_request([*body.arguments, b""], self, arrived_at)
                 self._prove()
 
     def _read_body(self, body: Body, data: bytes, at: int) -> tuple[int, bool]:
         """Take what has come of a body; returns where that ends, and whether the command is whole."""
-        piece = data[at : at + body.left]
+        piece = data[at : at + body.bytes_left]
         if piece:
             body.feed(piece)
         at += len(piece)
         tail = data[at : at + 2]
-        if body.left or len(tail) < 2:
+        if body.bytes_left or len(tail) < 2:
             if tail[:1] not in (b"", b"\r"):
-                raise Spoilt("a length does not fit")
+                raise ProtocolError("a length does not fit")
             return at, False
         if tail != b"\r\n":
-            raise Spoilt("a length does not fit")
+            raise ProtocolError("a length does not fit")
         return at + 2, True
 
     def _end_body(self, body: Body, arrived_at: float) -> None:
         """The last byte of a command with a body came at that time (Unix time in ms)."""
         self.body, request, self.uploading = None, self.uploading, None
-        body.end()
-        if not body.long:
-            self._execute([*body.words, b"".join(body.held)], arrived_at)
+        body.finish_receiving()
+        if not body.is_streamed:
+            self._execute([*body.arguments, b"".join(body.pieces)], arrived_at)
         elif request is not None:
-            self.node.body_whole(request, arrived_at + request.time_limit_ms)
-        if body.long and not self.pending:
+            self.node.complete_body(request, arrived_at + request.time_limit_ms)
+        if body.is_streamed and not self.pending:
             self._on_all_answered()
 
     def _update_reading(self) -> None:
@@ -206,8 +208,8 @@
         """Whether more input would be too much: for what is parsed, the body, or the open requests."""
         if self.parse_handle is not None:
             return True
-        if self.body is not None and self.body.long:
-            return not self.body.wants()
+        if self.body is not None and self.body.is_streamed:
+            return not self.body.accepts_more()
         return self._awaits_answers()
 
     def _awaits_answers(self) -> bool:
@@ -233,12 +235,12 @@
         """
         verb = words[0].upper()
         if body is not None:
-            body.over = True  # until a request takes it
+            body.is_discarded = True  # until a request takes it
         if verb in REQUEST_VERBS:
             self._begin_request(words, arrived_at, body)
         elif verb == b"PING":
             self._prove()
-            self._reply(b"+PONG\r\n" if self.node.ready() else b"-ERR not ready\r\n")
+            self._reply(b"+PONG\r\n" if self.node.is_ready() else b"-ERR not ready\r\n")
         elif verb in (b"CLIENT", b"SELECT"):
             self._prove()
             self._reply(b"+OK\r\n")
@@ -247,18 +249,18 @@
 
     def _begin_request(self, words: list[bytes], arrived_at: float, body: Body | None) -> None:
         try:
-            request = self.owner.parser.request(words, self, arrived_at, body)
+            request = self.owner.parser.parse_request(words, self, arrived_at, body)
         except MalformedCommand as error:
             return self._reply_error(str(error))
         self._prove()
         if not self.owner.has_room(request):
-            self.node.counters.ended(request.arrival.request_class, Ending.DROPPED)
+            self.node.metrics.count_ending(request.arrival.request_class, Ending.DROPPED)
             return self._reply(b"-BUSY\r\n")
         self.timeouts.idle.pop(self, None)
         self.pending.append(request)
         if body is not None:
-            body.over, self.uploading = False, request
-        self.node.arrived(request)
+            body.is_discarded, self.uploading = False, request
+        self.node.add_request(request)
 
     def _prove(self) -> None:
         """Note that the client has sent a command that can be served."""
@@ -281,7 +283,7 @@
         self.timeouts.unproven.pop(self, None)
         request, self.uploading = self.uploading, None
         if request is not None and not request.done:
-            self.node.client_left(request)  # it never came whole; the error is its answer
+            self.node.abandon_request(request)  # it never came whole; the error is its answer
             if request in self.pending:
                 self.pending.remove(request)
         if self.pending:
@@ -318,7 +320,7 @@
 
     def abort_if_read(self) -> None:
         """Close a connection that has been told to go, but not while its client goes on reading answers."""
-        unsent_bytes = unsent(self.transport)
+        unsent_bytes = count_unsent_bytes(self.transport)
         if not unsent_bytes or unsent_bytes >= self.unsent_bytes:
             return self.abort()
         self.unsent_bytes = unsent_bytes
@@ -326,7 +328,7 @@
 
     def check_unread(self) -> None:
         """Close if the client has read nothing since the last check; slow is not stalled."""
-        unsent_bytes = unsent(self.transport)
+        unsent_bytes = count_unsent_bytes(self.transport)
         if unsent_bytes >= self.unsent_bytes:
             return self.abort()
         self.unsent_bytes = unsent_bytes
@@ -336,7 +338,7 @@
         """Guards against an error that waits long behind open requests: these get their final answers now."""
         for entry in list(self.pending):
             if isinstance(entry, Request) and not entry.done and entry.value_source is None:
-                self.node.end_now(entry)
+                self.node.end_request_now(entry)
 
     # Replies, as they go out.
 
@@ -365,7 +367,7 @@
     def pause_writing(self) -> None:
         """The client leaves replies unread."""
         self.writing_paused = True
-        self.unsent_bytes = unsent(self.transport)
+        self.unsent_bytes = count_unsent_bytes(self.transport)
         self.timeouts.enter(self.timeouts.unread, self)
         self._update_reading()
 
@@ -391,7 +393,7 @@
         Guards against bytes of the client that cross the close: they turn it into a reset, which drops what
         has not left this machine yet.
         """
-        if not unsent(self.transport):
+        if not count_unsent_bytes(self.transport):
             return self.transport.close()
         self.closing = self.reading_ended = True
         self._update_reading()
@@ -409,7 +411,7 @@
 
         Not while its answers are on their way, or something has come that is to be read.
         """
-        return not (unsent(self.transport) or (self.has_unread_input() and not self.closing))
+        return not (count_unsent_bytes(self.transport) or (self.has_unread_input() and not self.closing))
 
     def has_unread_input(self) -> bool:
         """Whether bytes of the client, or its end, lie in the system and the loop has yet to read them."""
@@ -435,7 +437,7 @@
 
     def _note_unread(self) -> None:
         """Note what has come while nothing is read: the time of these commands runs already."""
-        self.arrivals.note_unread(unread(self.transport), self.node.clock.now())
+        self.arrivals.note_unread(count_unread_bytes(self.transport), self.node.clock.now())
 
     def _cancel_liveness_timer(self) -> None:
         if self.liveness_timer is not None:
@@ -453,7 +455,7 @@
         pending, self.pending = self.pending, deque()
         for entry in pending:
             if isinstance(entry, Request):
-                self.node.client_left(entry)
+                self.node.abandon_request(entry)
 
     def eof_received(self) -> None:
         """The client's end counts at once, not when what waits to be written has left."""
--- a/rainturn/node/client_replies.py
+++ b/rainturn/node/client_replies.py
@@ -37,7 +37,7 @@
 
     def send_refusal(self, request: Request, backoff_ms: float, until: float) -> None:
         """Say that trying again is harmless, and after how long, if its turn comes by `until`."""
-        request.reply_until = until
+        request.refusal_valid_until = until
         self._answer(request, b"-BUSY %d\r\n" % max(1, round(backoff_ms)) if backoff_ms > 0 else b"-BUSY\r\n")
 
     def send_failure(self, request: Request) -> None:
@@ -101,7 +101,7 @@
 
     def _reply_now(self, request: Request) -> bytes:
         """A request's answer as it is true in its turn: a refusal may have come too late to be harmless."""
-        late = request.reply_until < math.inf and self.clock.now() > request.reply_until
+        late = request.refusal_valid_until < math.inf and self.clock.now() > request.refusal_valid_until
         return FAILED if late or request.reply is None else request.reply
 
     def _replies_written(self) -> None:
--- a/rainturn/node/counter.py
+++ b/rainturn/node/counter.py
@@ -1,4 +1,4 @@
-"""Calls to the shared counter over a few connections, each of which answers in the order of its calls."""
+"""Client of the shared counter. It uses a few connections, each of which answers calls in order."""
 
 from __future__ import annotations
 
@@ -9,25 +9,23 @@
 
 from rainturn import interface as it
 from rainturn.node.gateway import Node
-from rainturn.node.resp import Outgoing, Spoilt, pack, total
+from rainturn.node.resp import OutgoingConnection, ProtocolError, pack, parse_counter_answer
 from rainturn.node.system_errors import connect
 
 log = logging.getLogger(__name__)
 
-IDLE_LIMIT_MS = 5000.0  # a connection idle for longer is replaced: the counter may close it any moment
-SILENT_TIMEOUTS = 4.0  # one that owes answers and got no byte for so many time-outs is replaced
-MAX_CONNECTIONS = 4  # more than one: a malformed answer or a break ends all calls on the same connection
-MAX_TTL_MS = 60_000  # longest life of a count that the protocol knows
-MAX_AMOUNT = 1e9  # largest amount of a call that the protocol knows
-AMOUNT_DIGITS = 6  # decimals: seven digits of a total are exact
-RECONNECT_MS = 100.0  # pause after a connect that failed
-RETIRE_S = (
-    2.0  # how long a counter that has moved may take for its last answers; its old address closes sooner
-)
+IDLE_LIMIT_MS = 5000.0  # a connection idle for longer is replaced: the counter may close it at any moment
+SILENT_TIMEOUTS = 4.0  # call time-outs without a byte after which a connection with open calls is replaced
+MAX_CONNECTIONS = 4  # more than one: a malformed answer or a break ends all calls on its connection
+MAX_TTL_MS = 60_000  # longest lifetime of a count in the protocol
+MAX_AMOUNT = 1e9  # largest amount of a call in the protocol
+AMOUNT_DECIMALS = 6  # the totals of the counter are exact to seven digits
+RECONNECT_DELAY_MS = 100.0  # after a failed connect
+RETIRE_S = 2.0  # time for the last answers of a counter that has moved; its old address may close sooner
 
 
 class CounterCall:
-    """One call: the count's name, the command as sent, its start (Unix time in ms), whether it has ended."""
+    """One call to the counter. `command` is the encoded command, `started_at` the Unix time in ms."""
 
     __slots__ = ("name", "command", "started_at", "ended")
 
@@ -37,20 +35,20 @@
 
 
 def encode_amount(amount: float) -> bytes:
-    """A decimal number without an exponent, within the protocol's limit."""
-    text = f"{max(-MAX_AMOUNT, min(MAX_AMOUNT, amount)):.{AMOUNT_DIGITS}f}".rstrip("0").rstrip(".")
+    """Encode an amount as a decimal number without an exponent, clamped to the protocol's limit."""
+    text = f"{max(-MAX_AMOUNT, min(MAX_AMOUNT, amount)):.{AMOUNT_DECIMALS}f}".rstrip("0").rstrip(".")
     return b"0" if text == "-0" else text.encode()
 
 
-class CounterConnection(Outgoing):
-    """A connection, with the calls sent on it that have no answer yet, also those that have timed out."""
+class CounterConnection(OutgoingConnection):
+    """One connection and the calls sent on it that have no answer yet, including those that timed out."""
 
-    def __init__(self, counter: Counter) -> None:
+    def __init__(self, counter: CounterClient) -> None:
         super().__init__()
         self.counter = counter
         self.calls: deque[CounterCall] = deque()  # in the order of their answers
-        self.received_at = self.sent_at = counter.node.clock.now()  # the last time of each
-        self.retiring = False  # whether the counter has moved: then its last answer closes it
+        self.received_at = self.sent_at = counter.node.clock.now()  # times of the last bytes, Unix time in ms
+        self.retiring = False  # whether the counter has moved: the connection closes after its last answer
 
     def write(self, call: CounterCall, now: float) -> None:
         """Send a call."""
@@ -61,71 +59,74 @@
         self.transport.write(call.command)
 
     def must_be_replaced(self, now: float) -> bool:
-        """Whether it may be dead: silent though it owes answers, or idle for longer than the limit."""
+        """Whether the connection may be dead: silent with calls open, or idle for longer than the limit."""
         if self.calls:
             return now - self.received_at > SILENT_TIMEOUTS * self.counter.timeout_ms
         return now - self.sent_at > IDLE_LIMIT_MS
 
     def data_received(self, data: bytes) -> None:
-        """Match each answer to its call, also to one that has timed out meanwhile."""
+        """Match each answer to its call, even if the call has timed out."""
         if self.closed:
             return
         self.received_at = self.counter.node.clock.now()
-        data, at = self.buffer + data if self.buffer else data, 0
+        data, offset = self.buffer + data if self.buffer else data, 0
         try:
-            while at < len(data) and (answer := total(data, at)) is not None:
+            while offset < len(data) and (answer := parse_counter_answer(data, offset)) is not None:
                 if not self.calls:
-                    raise Spoilt("an answer without a call")
-                at = answer.end
+                    raise ProtocolError("an answer without a call")
+                offset = answer.end
                 if answer.total is None:
-                    self.counter.ended(self.calls.popleft(), it.Outcome.FULL, 0.0)
+                    self.counter.end_call(self.calls.popleft(), it.Outcome.FULL, 0.0)
                 else:
-                    self.counter.ended(self.calls.popleft(), it.Outcome.OK, answer.total)
+                    self.counter.end_call(self.calls.popleft(), it.Outcome.OK, answer.total)
                 if self.closed:
                     return
-            self.buffer = data[at:]
-        except Spoilt:
-            # Guards against taking an answer for that of another call: what was called may have been added.
+            self.buffer = data[offset:]
+        except ProtocolError:
+            # Guards against matching an answer to the wrong call. The amounts of open calls may have been
+            # added.
             return self.close()
         if self.retiring and not self.calls:
             self.close()
 
     def close(self) -> None:
-        """End the connection; what was called may have been added, unless it was never sent whole.
+        """Close the connection and end its calls.
 
-        Its calls end as reset, not as timed out: that says nothing about the load of the counter.
+        A call that was not sent completely ends as unreachable. The amounts of the others may have been
+        added. They end as reset and not as timed out, because their end says nothing about the load of the
+        counter.
         """
         if self.closed:
             return
         self.closed = True
         self.transport.abort()
         self.counter.remove(self)
-        not_sent = self.calls[-1] if self.calls and self.unsent else None
+        not_sent = self.calls[-1] if self.calls and self.has_unsent_bytes else None
         for call in self.calls:
             outcome = it.Outcome.UNREACHABLE if call is not_sent else it.Outcome.RESET
-            self.counter.ended(call, outcome, 0.0)
+            self.counter.end_call(call, outcome, 0.0)
 
     def eof_received(self) -> None:
-        """The counter has closed its side: no answer will come."""
+        """Close the connection: the counter has closed its side and will not answer."""
         self.close()
 
     def connection_lost(self, error: Exception | None) -> None:
-        """The connection broke."""
+        """End the calls of a connection that has broken."""
         self.close()
 
 
-class Counter:
-    """The calls to the counter: a few connections, calls that wait for the first one, and time-outs."""
+class CounterClient:
+    """Makes calls to the counter over a few connections, with a queue for the first one and time-outs."""
 
     def __init__(self, node: Node, address: tuple[str, int]) -> None:
         self.node, self.address = node, address
         self.timeout_ms = node.settings.counter_timeout_ms
         self.connections: list[CounterConnection] = []
         self.connect_task: asyncio.Task[None] | None = None
-        self.queued: deque[CounterCall] = deque()  # for want of a connection
-        self.by_age: deque[CounterCall] = deque()  # all calls, also ended ones until their time-out
+        self.queued: deque[CounterCall] = deque()  # calls that wait for a connection
+        self.calls_by_age: deque[CounterCall] = deque()  # all calls until their time-out, also ended ones
         self.timeout_timer: asyncio.TimerHandle | None = None  # for the oldest call
-        self.retry_at = 0.0
+        self.retry_at = 0.0  # earliest time of the next connect, Unix time in ms
         self.stopped = False
 
     def move(self, address: tuple[str, int]) -> None:
@@ -137,34 +138,35 @@
         for connection in connections:
             connection.retiring = True
             if connection.calls:
-                # Guards against a counter that is cut off holding it for good: nobody calls over it any more.
+                # Guards against an unreachable counter keeping the connection open for good: no further call
+                # would detect it.
                 self.node.loop.call_later(RETIRE_S, connection.close)
             else:
                 connection.close()
 
     def call(self, name: int, amount: float, ttl: float) -> None:
-        """Begin a call: add `amount` to the count `name`, which lives for `ttl` ms if it is new."""
+        """Begin a call: add `amount` to the count `name`, which expires after `ttl` ms if it is new."""
         now = self.node.clock.now()
         ttl_ms = max(1, min(MAX_TTL_MS, round(ttl)))
         call = CounterCall(name, pack((b"ADDGET", b"%d" % name, encode_amount(amount), b"%d" % ttl_ms)), now)
-        self.by_age.append(call)
+        self.calls_by_age.append(call)
         if self.timeout_timer is None:
             self.timeout_timer = self.node.loop.call_later(self.timeout_ms / 1000, self._time_out)
         for connection in list(self.connections):
-            # Guards against calls lost to a connection that went silent, or that the counter closes because
-            # it was idle: both are replaced first.
+            # Guards against losing the call on a connection that went silent, or that the counter closes
+            # because it was idle.
             if connection.must_be_replaced(now):
                 connection.close()
         best = min(self.connections, key=lambda connection: len(connection.calls), default=None)
         if best is None:
             self.queued.append(call)
-        if self.connect_task is None and (best is None or self._wants_more(best)):
+        if self.connect_task is None and (best is None or self._needs_connection(best)):
             self.connect_task = self.node.loop.create_task(self._connect())
         if best is not None:
             best.write(call, now)
 
-    def _wants_more(self, best: CounterConnection) -> bool:
-        """Whether another connection should be opened, as even the least used one owes an answer."""
+    def _needs_connection(self, best: CounterConnection) -> bool:
+        """Whether to open another connection: even the one with the fewest open calls has one."""
         return bool(best.calls) and len(self.connections) < MAX_CONNECTIONS
 
     async def _connect(self) -> None:
@@ -177,12 +179,12 @@
                 connection: CounterConnection | None = None
                 with contextlib.suppress(OSError):
                     connection = await connect(loop, lambda: CounterConnection(self), address, limit_s)
-                if address != self.address:  # the counter moved while the connect was under way
+                if address != self.address:  # the counter moved during the connect
                     if connection is not None:
                         connection.close()
                     continue
                 if connection is None or connection.closed:
-                    self.retry_at = clock.now() + RECONNECT_MS
+                    self.retry_at = clock.now() + RECONNECT_DELAY_MS
                     if not self.queued:
                         return
                     continue
@@ -196,21 +198,21 @@
     def _time_out(self) -> None:
         """End the calls that are overdue, and set the timer for the next one."""
         self.timeout_timer = None
-        while self.by_age:
-            call, now = self.by_age[0], self.node.clock.now()
+        while self.calls_by_age:
+            call, now = self.calls_by_age[0], self.node.clock.now()
             time_left_ms = call.started_at + self.timeout_ms - now
             if not call.ended and time_left_ms > 0:
                 self.timeout_timer = self.node.loop.call_later(time_left_ms / 1000, self._time_out)
                 return
-            self.by_age.popleft()
+            self.calls_by_age.popleft()
             if call in self.queued:
                 self.queued.remove(call)
-                self.ended(call, it.Outcome.UNREACHABLE, 0.0)
+                self.end_call(call, it.Outcome.UNREACHABLE, 0.0)
             else:
-                self.ended(call, it.Outcome.TIMEOUT, 0.0)
+                self.end_call(call, it.Outcome.TIMEOUT, 0.0)
 
-    def ended(self, call: CounterCall, outcome: it.Outcome, total: float) -> None:
-        """Report the outcome of a call to the module, once; `total` counts for `Outcome.OK` only."""
+    def end_call(self, call: CounterCall, outcome: it.Outcome, total: float) -> None:
+        """Report the outcome of a call to the decision module, once. `total` counts only for `Outcome.OK`."""
         if not call.ended:
             call.ended = True
             self.node.feed(
@@ -218,10 +220,10 @@
             )
 
     def remove(self, connection: CounterConnection) -> None:
-        """Forget a connection; the next call opens another."""
+        """Remove a closed connection; the next call opens another."""
         if connection in self.connections:
             self.connections.remove(connection)
 
     def stop(self) -> None:
-        """Make no further connection."""
+        """Open no further connections."""
         self.stopped = True
--- a/rainturn/node/counters.py
+++ b/rainturn/node/counters.py
@@ -1,10 +1,10 @@
-"""The figures that operators fetch: what ended how, by class, and what is so at this moment."""
+"""The metrics that operators fetch: counters of requests by class and ending, and current gauges."""
 
 from __future__ import annotations
 
 import enum
 
-PREFIX = "gateway"
+METRIC_PREFIX = "gateway"
 
 
 class Ending(enum.IntEnum):
@@ -15,24 +15,24 @@
     BAD_GATEWAY = 2
 
 
-class Counters:
-    """Counts from the start of the process; each request and each attempt is booked once, where it ends."""
+class Metrics:
+    """Counters since the start of the process. Each request and each attempt is counted once, at its end."""
 
     def __init__(self, classes: int) -> None:
         self.handled = [[0] * len(Ending) for _ in range(classes)]
-        self.upstream_tries = 0  # attempts whose last byte has left
+        self.upstream_tries = 0  # attempts whose last byte has been sent
 
-    def ended(self, request_class: int, ending: Ending) -> None:
-        """Book a request's end."""
+    def count_ending(self, request_class: int, ending: Ending) -> None:
+        """Count the end of a request."""
         self.handled[request_class][ending] += 1
 
     def report(self, classes: tuple[str, ...], gauges: dict[str, int]) -> str:
-        """All figures as statsd lines, zeros too."""
+        """Return all metrics as statsd lines, including those that are zero."""
         lines = [
-            f"{PREFIX}.handled.{name}.{ending.name.lower()}:{counts[ending]}|c"
+            f"{METRIC_PREFIX}.handled.{name}.{ending.name.lower()}:{counts[ending]}|c"
             for name, counts in zip(classes, self.handled, strict=True)
             for ending in Ending
         ]
-        lines.append(f"{PREFIX}.upstream_tries:{self.upstream_tries}|c")
-        lines += [f"{PREFIX}.{name}:{value}|g" for name, value in gauges.items()]
+        lines.append(f"{METRIC_PREFIX}.upstream_tries:{self.upstream_tries}|c")
+        lines += [f"{METRIC_PREFIX}.{name}:{value}|g" for name, value in gauges.items()]
         return "\n".join(lines) + "\n"
--- a/rainturn/node/discovery.py
+++ b/rainturn/node/discovery.py
@@ -184,7 +184,7 @@
 
     async def _run_steps(self) -> None:
         # Guards against counting as ready while a part of the hosts is known.
-        self.node.list_incomplete = not self.node.ready()
+        self.node.list_incomplete = not self.node.is_ready()
         try:
             for _ in self._steps:
                 await asyncio.sleep(0)
--- a/rainturn/node/gateway.py
+++ b/rainturn/node/gateway.py
@@ -1,4 +1,4 @@
-"""Owns the decision module: events in, actions out, timers, and the table of open requests."""
+"""Connects the decision module to the event loop: events, actions, timers and the table of open requests."""
 
 from __future__ import annotations
 
@@ -12,83 +12,87 @@
 
 from rainturn import interface as it
 from rainturn.decisions import Gateway
-from rainturn.node.counters import Counters, Ending
+from rainturn.node.counters import Ending, Metrics
 from rainturn.node.requests import Attempt, Request, ValueSource
 
-__all__ = ["Attempt", "Clock", "Counter", "Hosts", "Node", "Request"]
+__all__ = ["Attempt", "AttemptRunner", "Clock", "CounterCaller", "Node", "Request"]
 
 log = logging.getLogger(__name__)
 
-RETRY_TIMER_MS = 20.0  # after an exception in the module: until its timers are checked again
+TIMER_RECHECK_MS = 20.0  # delay before the timers are checked after an exception in the decision module
 
 
 class Clock:
-    """Unix milliseconds at the start plus monotonic time since: it never jumps.
+    """Unix time in ms at the start plus the monotonic time since then, so that it never jumps.
 
-    `base` is what another process of this machine has, for which the wall clock may have said something else.
+    `base_ms` is the Unix time in ms at which the monotonic clock is 0. A successor takes it over from another
+    process of this machine, because the wall clock may have been set in between.
     """
 
-    def __init__(self, base: float | None = None) -> None:
-        self.base = time.time() * 1000.0 - time.monotonic() * 1000.0 if base is None else base
+    def __init__(self, base_ms: float | None = None) -> None:
+        self.base_ms = time.time() * 1000.0 - time.monotonic() * 1000.0 if base_ms is None else base_ms
 
     def now(self) -> float:
-        """Milliseconds of Unix time."""
-        return self.base + time.monotonic() * 1000.0
+        """Return the Unix time in ms."""
+        return self.base_ms + time.monotonic() * 1000.0
 
 
-class Hosts(Protocol):
-    """What carries attempts out."""
+class AttemptRunner(Protocol):
+    """Sends attempts to hosts."""
 
     def start(self, attempt: Attempt) -> None:
-        """Begin an attempt; its end is told to `Node.attempt_ended`."""
+        """Begin an attempt. Its end is reported with `Node.end_attempt`."""
 
     def drop(self, attempt: Attempt) -> None:
         """Stop waiting for an attempt."""
 
 
-class Counter(Protocol):
-    """What carries counter calls out."""
+class CounterCaller(Protocol):
+    """Makes calls to the shared counter."""
 
     def call(self, name: int, amount: float, ttl: float) -> None:
-        """Begin a call; its end is told to `Node.feed`."""
+        """Begin a call. Its outcome is passed to `Node.feed`."""
 
 
 class Node:
-    """Hands the module its events in order and carries its actions out."""
+    """Passes events to the decision module in order and carries out the actions that it returns."""
 
     def __init__(
         self, settings: it.Settings, seed: int, clock: Clock, loop: asyncio.AbstractEventLoop
     ) -> None:
         self.settings, self.clock, self.loop = settings, clock, loop
-        self.module = Gateway(settings, seed)
-        self.counters = Counters(len(settings.classes))
-        self.hosts: Hosts
-        self.counter: Counter
+        self.decision_module = Gateway(settings, seed)
+        self.metrics = Metrics(len(settings.classes))
+        self.hosts: AttemptRunner
+        self.counter: CounterCaller
         self.requests: dict[int, Request] = {}
-        self.request_ids: set[bytes] = set()  # the clients' ids of these
-        self.serial = self.unanswered = self.held_bytes = 0
+        self.request_ids: set[bytes] = set()  # the ids that clients gave the open requests
+        self.last_request_number = self.unanswered = self.held_bytes = 0
         self._events: deque[it.Event] = deque()
         self._handling = False
-        self.list_incomplete = False  # whether the module knows the first part of its first list only
-        self._perform: dict[type, Callable[..., None]] = {
+        self.list_incomplete = False  # whether only the first part of the first host list has been applied
+        self._action_handlers: dict[type, Callable[..., None]] = {
             it.Send: self._send,
             it.Cancel: self._cancel,
             it.Refuse: self._refuse,
             it.Fail: self._fail,
-            it.Count: lambda a, now: self.counter.call(a.name, a.amount, a.ttl),
+            it.Count: lambda action, now: self.counter.call(action.name, action.amount, action.ttl),
             it.SetTimer: self._set_timer,
-            it.WatchList: lambda a, now: None,  # discovery is watched in any case
-            it.Note: lambda a, now: log.info("module: %s", a.text),
+            it.WatchList: lambda action, now: None,  # the host list is always watched
+            it.Note: lambda action, now: log.info("decision module: %s", action.text),
         }
 
-    def ready(self) -> bool:
-        """Whether clients should come: as the module says, once a first list that comes in parts is whole."""
-        return not self.list_incomplete and self.module.ready(self.clock.now())
+    def is_ready(self) -> bool:
+        """Whether clients may connect: the first host list is complete and the decision module is ready."""
+        return not self.list_incomplete and self.decision_module.ready(self.clock.now())
 
-    # Events in, actions out.
+    # Events and actions.
 
     def feed(self, event: it.Event) -> None:
-        """Give the module an event; what carrying out its actions brings about waits until all are done."""
+        """Pass an event to the decision module and carry out its actions.
+
+        Events that occur while actions are carried out are queued until these actions are done.
+        """
         self._events.append(event)
         if self._handling:
             return
@@ -102,20 +106,21 @@
     def _handle(self, event: it.Event) -> None:
         now = self.clock.now()
         try:
-            actions = self.module.handle(now, event)
+            actions = self.decision_module.handle(now, event)
         except Exception:
-            # Guards against a mistake in the module ending the process or losing requests: what it had
-            # decided is carried out, the request of the event is answered, and its timers, which may not
-            # have been asked for, are looked at again. Others it lost are answered at their deadline.
-            log.exception("the module failed on %s", type(event).__name__)
-            actions = self.module.actions
+            # Guards against an error in the decision module ending the process or losing requests. The
+            # actions decided before the error are carried out, the request of the event fails, and the timers
+            # are checked again, because some may not have been set. Other requests that were lost are
+            # answered at their deadline.
+            log.exception("decision module failed on %s", type(event).__name__)
+            actions = self.decision_module.actions
             number = getattr(event, "request", None)
             if number in self.requests:
                 actions = [*actions, it.Fail(number)]
-            self.loop.call_later(RETRY_TIMER_MS / 1000, self.feed, it.TimerFired(0))
+            self.loop.call_later(TIMER_RECHECK_MS / 1000, self.feed, it.TimerFired(0))
         for action in actions:
             try:
-                self._perform[type(action)](action, now)
+                self._action_handlers[type(action)](action, now)
             except Exception:
                 log.exception("could not carry out %s", action)
                 number = getattr(action, "request", None)
@@ -123,32 +128,32 @@
                     self._fail(it.Fail(number), now)
         number = getattr(event, "request", None)
         if number is not None:
-            self._forget(number)
+            self._forget_if_finished(number)
 
-    def _forget(self, number: int) -> None:
-        """Drop a request that is answered, has no attempt out and of whose end the module knows."""
+    def _forget_if_finished(self, number: int) -> None:
+        """Drop a request that has ended and has no open attempt. The decision module knows of its end."""
         request = self.requests.get(number)
         if request is not None and request.done and not request.open_attempts:
             del self.requests[number]
-            self.request_ids.discard(request.words[2])
+            self.request_ids.discard(request.arguments[2])
             self.held_bytes -= request.held_bytes
             if request.deadline_timer is not None:
                 request.deadline_timer.cancel()
 
     # Requests.
 
-    def arrived(self, request: Request) -> None:
+    def add_request(self, request: Request) -> None:
         """Take a request from a client."""
         self.requests[request.number] = request
-        self.request_ids.add(request.words[2])
+        self.request_ids.add(request.arguments[2])
         self.unanswered += 1
         self.held_bytes += request.held_bytes
         if request.body is None:
             self._set_deadline(request)
         self.feed(request.arrival)
 
-    def body_whole(self, request: Request, deadline: float) -> None:
-        """The last byte of a request with a body that is passed on has come: its time counts from here."""
+    def complete_body(self, request: Request, deadline: float) -> None:
+        """Set the deadline (Unix time in ms) of a request whose streamed body has arrived completely."""
         if not request.done:
             request.deadline = deadline
             self._set_deadline(request)
@@ -159,82 +164,84 @@
         request.deadline_timer = self.loop.call_later(delay, self._on_deadline, request)
 
     def in_progress(self) -> int:
-        """How many requests are taken and not ended."""
+        """Return how many requests have arrived completely and have not ended."""
         return sum(not request.done and request.is_complete() for request in self.requests.values())
 
-    def client_left(self, request: Request) -> None:
-        """The client went away: nothing more is owed, and the module hears of it."""
+    def abandon_request(self, request: Request) -> None:
+        """End a request whose client has disconnected; it gets no answer."""
         if request.done:
             return
-        passing = not request.is_complete() or request.value_source is not None
-        self._finish(request, None)
+        streaming = not request.is_complete() or request.value_source is not None
+        self._finish_request(request, None)
         self.feed(it.RequestGone(request.number))
-        for attempt in request.attempts if passing else ():
-            if attempt is not None:  # a command that stays short never runs; a value has nowhere to go
+        for attempt in request.attempts if streaming else ():
+            if attempt is not None:  # an incomplete command never runs, and a value has no recipient
                 self.hosts.drop(attempt)
-                self.attempt_ended(
-                    attempt, it.Outcome.CANCELLED if request.is_complete() else it.Outcome.MOOT
-                )
-        self._forget(request.number)
+                self.end_attempt(attempt, it.Outcome.CANCELLED if request.is_complete() else it.Outcome.MOOT)
+        self._forget_if_finished(request.number)
 
     def _on_deadline(self, request: Request) -> None:
-        """At the deadline attempts end as timed out; a request that is open even then fails."""
+        """End all attempts as timed out, and then the request itself if it is still open."""
         request.deadline_timer = None
         for attempt in request.attempts:
             if attempt is not None:
-                self._timed_out(attempt)
+                self._time_out(attempt)
         if not request.done:
-            # Guards against a request that the module has lost or holds too long: rule 1 wants an answer.
+            # Guards against a request that the decision module has lost or holds too long: rule 1 demands an
+            # answer to every request.
             log.warning("request without an answer at its deadline")
-            self.end_now(request)
-        self._forget(request.number)
+            self.end_request_now(request)
+        self._forget_if_finished(request.number)
 
-    def end_now(self, request: Request) -> None:
-        """Give a final answer without the module: a refusal where rule 2 lets it be one."""
+    def end_request_now(self, request: Request) -> None:
+        """Give the final answer without the decision module: a refusal where rule 2 allows one."""
         if request.value_source is not None:
-            return self._cut(request)
-        klass = self.settings.classes[request.arrival.request_class]
-        if klass.effect is it.Effect.SAFE or not request.may_run():
-            self._finish(request, Ending.DROPPED)
+            return self._cut_value(request)
+        request_class = self.settings.classes[request.arrival.request_class]
+        if request_class.effect is it.Effect.SAFE or not request.may_run():
+            self._finish_request(request, Ending.DROPPED)
             request.client.send_refusal(request, 0.0, math.inf)
         else:
-            self._finish(request, Ending.BAD_GATEWAY)
+            self._finish_request(request, Ending.BAD_GATEWAY)
             request.client.send_failure(request)
         self.feed(it.RequestGone(request.number))
 
-    def _cut(self, request: Request) -> None:
-        """End a value that has begun and can't be finished."""
-        self._finish(request, Ending.BAD_GATEWAY)
+    def _cut_value(self, request: Request) -> None:
+        """End a request whose long value has begun and cannot be completed."""
+        self._finish_request(request, Ending.BAD_GATEWAY)
         request.client.cut_value(request)
         self.feed(it.RequestGone(request.number))
 
-    def _finish(self, request: Request, ending: Ending | None) -> None:
-        """The one end of a request; None: its client left, and it goes under no count."""
+    def _finish_request(self, request: Request, ending: Ending | None) -> None:
+        """Mark a request as ended, once. With the ending None its client left, and no metric counts it."""
         request.done = True
         if request.body is not None:
-            request.body.finish()
+            request.body.discard_rest()
         if ending is not None:
-            self.counters.ended(request.arrival.request_class, ending)
+            self.metrics.count_ending(request.arrival.request_class, ending)
         self.unanswered -= 1
 
-    def _open(self, number: int) -> Request | None:
-        """The request if it is still owed an answer: an action may come for one that has ended meanwhile."""
+    def _answerable_request(self, number: int) -> Request | None:
+        """Return the request if a final answer can still be sent.
+
+        Returns None if it has ended since the action was decided, or if a long value has begun.
+        """
         request = self.requests.get(number)
         return None if request is None or request.done or request.value_source is not None else request
 
     def _refuse(self, action: it.Refuse, now: float) -> None:
-        request = self._open(action.request)
+        request = self._answerable_request(action.request)
         if request is not None:
-            self._finish(request, Ending.DROPPED)
+            self._finish_request(request, Ending.DROPPED)
             request.client.send_refusal(request, action.backoff, action.until)
-        self._forget(action.request)
+        self._forget_if_finished(action.request)
 
     def _fail(self, action: it.Fail, now: float) -> None:
-        request = self._open(action.request)
+        request = self._answerable_request(action.request)
         if request is not None:
-            self._finish(request, Ending.BAD_GATEWAY)
+            self._finish_request(request, Ending.BAD_GATEWAY)
             request.client.send_failure(request)
-        self._forget(action.request)
+        self._forget_if_finished(action.request)
 
     # Attempts.
 
@@ -248,16 +255,16 @@
         request.open_attempts += 1
         limit = self.settings.limits.max_attempts
         if request.done or attempt.number >= limit or deadline <= now:
-            return self.attempt_ended(attempt, it.Outcome.MOOT)
+            return self.end_attempt(attempt, it.Outcome.MOOT)
         if deadline < request.deadline:
-            attempt.timer = self.loop.call_later((deadline - now) / 1000, self._timed_out, attempt)
+            attempt.timer = self.loop.call_later((deadline - now) / 1000, self._time_out, attempt)
         self.hosts.start(attempt)
 
-    def _timed_out(self, attempt: Attempt) -> None:
+    def _time_out(self, attempt: Attempt) -> None:
         if attempt.request.attempts[attempt.number] is attempt:
             written = attempt.connection is not None
             self.hosts.drop(attempt)
-            self.attempt_ended(attempt, it.Outcome.TIMEOUT if written else it.Outcome.UNREACHABLE)
+            self.end_attempt(attempt, it.Outcome.TIMEOUT if written else it.Outcome.UNREACHABLE)
 
     def _cancel(self, action: it.Cancel, now: float) -> None:
         request = self.requests.get(action.request)
@@ -265,10 +272,13 @@
             return
         if (attempt := request.attempts[action.attempt]) is not None:
             self.hosts.drop(attempt)
-            self.attempt_ended(attempt, it.Outcome.CANCELLED)
+            self.end_attempt(attempt, it.Outcome.CANCELLED)
 
-    def value_began(self, attempt: Attempt, length: int, source: ValueSource) -> bool:
-        """A long value begins to come: it is passed on unless nobody waits; from here no deadline counts."""
+    def begin_streaming(self, attempt: Attempt, length: int, source: ValueSource) -> bool:
+        """Begin to stream a long value of `length` bytes to the client; deadlines no longer apply.
+
+        Returns False, and streams nothing, if the request has already ended.
+        """
         request = attempt.request
         if request.done:
             return False
@@ -280,8 +290,11 @@
         self.feed(it.StreamBegan(request.number, attempt.number))
         return True
 
-    def attempt_ended(self, attempt: Attempt, outcome: it.Outcome, value: bytes = b"") -> None:
-        """Tell the module how an attempt ended, once; the first value goes to the client by itself."""
+    def end_attempt(self, attempt: Attempt, outcome: it.Outcome, value: bytes = b"") -> None:
+        """Report the end of an attempt to the decision module, once.
+
+        The first value goes to the client without a decision.
+        """
         request = attempt.request
         if request.attempts[attempt.number] is not attempt:
             return
@@ -293,15 +306,15 @@
             request.may_have_run = True
         if request.value_source is not None and not request.done:
             if outcome is it.Outcome.OK:
-                self._finish(request, Ending.PASSED)
+                self._finish_request(request, Ending.PASSED)
                 request.client.end_value(request)
             else:
-                self._cut(request)
+                self._cut_value(request)
         elif outcome is it.Outcome.OK and not request.done:
-            self._finish(request, Ending.PASSED)
+            self._finish_request(request, Ending.PASSED)
             request.client.send_value(request, value)
         elapsed = max(0.0, self.clock.now() - attempt.started_at)
-        spent = request.body is not None and request.body.spent
+        spent = request.body is not None and request.body.was_forwarded
         self.feed(
             it.AttemptEnded(
                 request.number, attempt.number, attempt.host, outcome, elapsed, request.done, spent=spent
@@ -311,19 +324,19 @@
     # Timers.
 
     def _set_timer(self, action: it.SetTimer, now: float) -> None:
-        self._arm(now + action.delay, action.token)
+        self._start_timer(now + action.delay, action.token)
 
-    def _arm(self, due: float, token: int) -> None:
-        left = max(0.0, due - self.clock.now())
-        self.loop.call_later(left / 1000, self._fire, due, token)
+    def _start_timer(self, due: float, token: int) -> None:
+        time_left_ms = max(0.0, due - self.clock.now())
+        self.loop.call_later(time_left_ms / 1000, self._on_timer, due, token)
 
-    def _fire(self, due: float, token: int) -> None:
-        """Tell the module that its time has come.
+    def _on_timer(self, due: float, token: int) -> None:
+        """Report a timer to the decision module once its time (Unix time in ms) has come.
 
-        Guards against a timer that the loop runs a fraction of a millisecond early: the module passes over
-        it and asks for no other, so that it would stand still for good.
+        Guards against a timer that the event loop runs a fraction of a millisecond early: the decision module
+        would ignore it and set no other, so that its timers would stop for good.
         """
         if self.clock.now() < due:
-            self.loop.call_later(0.001, self._fire, due, token)
+            self.loop.call_later(0.001, self._on_timer, due, token)
         else:
             self.feed(it.TimerFired(token))
--- a/rainturn/node/host_connection.py
+++ b/rainturn/node/host_connection.py
@@ -10,7 +10,16 @@
 from rainturn import interface as it
 from rainturn.node.gateway import Node
 from rainturn.node.requests import Attempt
-from rainturn.node.resp import LongValue, Outgoing, Spoilt, answer, end_sending, fields, pack, unsent
+from rainturn.node.resp import (
+    LongValue,
+    OutgoingConnection,
+    ProtocolError,
+    check_fields,
+    count_unsent_bytes,
+    end_sending,
+    pack,
+    parse_answer,
+)
 
 STALL_S = 0.5  # time limit between two pieces of an answer that is kept whole
 VALUE_STALL_S = 4.0  # the same for a long value, which is passed on as it comes
@@ -42,14 +51,14 @@
     """The client's command with `d` set to the time that is left, in ms; without a body that is passed on."""
     request = attempt.request
     time_left_ms = max(1, int(min(attempt.deadline - now, request.time_limit_ms)))
-    fields_sent = b"%sd=%d%s" % (request.fields_before, time_left_ms, request.fields_after)
-    words = [*request.words[:3], fields_sent, *request.words[4:]]
+    fields_sent = b"%sd=%d%s" % (request.fields_before_deadline, time_left_ms, request.fields_after_deadline)
+    words = [*request.arguments[:3], fields_sent, *request.arguments[4:]]
     if request.body is None:
         return pack(words)
     return b"*%d%s$%d\r\n" % (len(words) + 1, pack(words)[2:], request.body.length)
 
 
-class HostConnection(Outgoing):
+class HostConnection(OutgoingConnection):
     """One connection to a host."""
 
     def __init__(self, pool: ConnectionOwner, address: tuple[str, int]) -> None:
@@ -92,12 +101,12 @@
         else:
             body.attach(self)
 
-    def more(self, data: bytes) -> None:
+    def send_body_piece(self, data: bytes) -> None:
         """Send a piece of the body."""
         if not self.closed:
             self.transport.write(data)
 
-    def complete(self) -> None:
+    def end_body(self) -> None:
         """End the command after its body; the attempt's time counts from here, as the host has it whole."""
         if self.closed or self.attempt is None:
             return
@@ -107,8 +116,8 @@
         self._count_sent()
 
     def _count_sent(self) -> None:
-        if not self.unsent:
-            self.pool.node.counters.upstream_tries += 1
+        if not self.has_unsent_bytes:
+            self.pool.node.metrics.upstream_tries += 1
 
     def pause_writing(self) -> None:
         """Bytes wait to be sent; give up a host that accepts none of a body for too long."""
@@ -117,7 +126,7 @@
             self._check_upload(first=True)
 
     def _check_upload(self, first: bool = False) -> None:
-        backlog = unsent(self.transport)
+        backlog = count_unsent_bytes(self.transport)
         if not first and backlog >= self.upload_backlog:
             return self.close(it.Outcome.UNREACHABLE)  # the command stays incomplete: it never runs
         self.upload_backlog = backlog
@@ -129,10 +138,10 @@
         if self.closed or self.attempt is None:
             return
         if not self.uploading:
-            self.pool.node.counters.upstream_tries += 1
+            self.pool.node.metrics.upstream_tries += 1
         self._cancel_stall_timer()
         if self.attempt.request.body is not None:
-            self.attempt.request.body.resume()
+            self.attempt.request.body.resume_reading()
 
     # Receiving.
 
@@ -149,8 +158,8 @@
         if attempt is None:
             return self.close()  # an answer that nobody asked for
         try:
-            reply = answer(self.buffer)
-        except Spoilt:
+            reply = parse_answer(self.buffer)
+        except ProtocolError:
             return self.fail()
         if reply is None:
             return self._set_stall_timer(STALL_S, self.fail)
@@ -161,12 +170,12 @@
             # Only this very word says that nothing ran; one like BUSYKEY does not.
             refused = reply.error.split(b" ", 1)[0] == b"BUSY"
             outcome, value = it.Outcome.FULL if refused else it.Outcome.ERROR, b""
-        self._answered(attempt, outcome, value, reply.fields, self.buffer[reply.end :])
+        self._answered(attempt, outcome, value, reply.field_count, self.buffer[reply.end :])
 
     def _begin_value(self, attempt: Attempt, value: LongValue) -> None:
         data, self.buffer = self.buffer[value.start :], b""
-        self.value_bytes_left, self.fields_after_value = value.length, value.fields
-        if not self.pool.node.value_began(attempt, value.length, self):
+        self.value_bytes_left, self.fields_after_value = value.length, value.field_count
+        if not self.pool.node.begin_streaming(attempt, value.length, self):
             return self.close(it.Outcome.CANCELLED)  # its request has ended
         self._forward_value(data)
 
@@ -219,10 +228,10 @@
         node = self.pool.node
         if attempt.request.body is not None:
             attempt.request.body.detach()
-        node.attempt_ended(attempt, outcome, value)
+        node.end_attempt(attempt, outcome, value)
 
     def _finish_answer(self) -> None:
-        complete = fields(self.buffer, 0, self.fields_expected or 0)
+        complete = check_fields(self.buffer, 0, self.fields_expected or 0)
         if complete is None:
             # One limit for all fields together: nobody waits for them, and a few bytes now and then would
             # hold the connection for good.
@@ -272,7 +281,7 @@
             if attempt.request.body is not None:
                 attempt.request.body.detach()
             if outcome is not None:
-                self.pool.node.attempt_ended(attempt, outcome)
+                self.pool.node.end_attempt(attempt, outcome)
 
     def eof_received(self) -> None:
         """The host has closed its side: no answer will come."""
@@ -280,4 +289,4 @@
 
     def connection_lost(self, error: Exception | None) -> None:
         """A break proves that nothing ran only if the request's last byte had not been sent."""
-        self.close(it.Outcome.UNREACHABLE if self.unsent or self.uploading else it.Outcome.RESET)
+        self.close(it.Outcome.UNREACHABLE if self.has_unsent_bytes or self.uploading else it.Outcome.RESET)
--- a/rainturn/node/host_pools.py
+++ b/rainturn/node/host_pools.py
@@ -11,7 +11,7 @@
 from rainturn.node.gateway import Node
 from rainturn.node.host_connection import HostConnection
 from rainturn.node.requests import Attempt
-from rainturn.node.system_errors import OwnShortage, connect
+from rainturn.node.system_errors import LocalShortageError, connect
 
 SETTLE_MS = 10.0  # idle time before a connection is used again: a host's second answer comes some ms late
 IDLE_LIMIT_PART = 0.7  # of the hosts' own idle limit: a request must not cross their close
@@ -107,7 +107,7 @@
             # Guards against a connect that comes up late: the request may have ended meanwhile (rule 1), its
             # key may be forgotten (rule 2) or the host may leave by now (rule 3). Nothing was written or ran.
             # And against a client whose end is not read yet, as it is not read from or the loop was late.
-            node.attempt_ended(attempt, it.Outcome.MOOT)
+            node.end_attempt(attempt, it.Outcome.MOOT)
             return False
         connection.begin(attempt, now)
         return True
@@ -115,7 +115,7 @@
     def _open(self) -> None:
         if not self.pools.make_room():
             # Not sent for a shortage of our own: to call the host unreachable would make a well one suspect.
-            self.node.attempt_ended(self.waiting.pop(), it.Outcome.MOOT)
+            self.node.end_attempt(self.waiting.pop(), it.Outcome.MOOT)
             return
         self.connecting += 1
         self.pools.connecting += 1
@@ -131,7 +131,7 @@
         limit_s = node.settings.limits.connect_timeout_ms / 1000
         try:
             connection = await connect(node.loop, lambda: HostConnection(self, address), address, limit_s)
-        except OwnShortage:
+        except LocalShortageError:
             failure = it.Outcome.MOOT  # to call the host unreachable would make a well one suspect
         except (OSError, ValueError):
             pass
@@ -143,7 +143,7 @@
         self._use_idle()
         if self.connecting < len(self.waiting):
             if not self.idle:
-                node.attempt_ended(self.waiting.popleft(), failure)
+                node.end_attempt(self.waiting.popleft(), failure)
             elif self.settle_timer is None:  # the host may accept no more, and an idle one is usable soon
                 self.settle_timer = node.loop.call_later(SETTLE_MS / 1000, self._on_settle_timer)
         self.forget_if_over()
@@ -265,7 +265,7 @@
         self.to_return.clear()
         for pool in pools:
             while pool.leaving and pool.waiting:
-                self.node.attempt_ended(pool.waiting.popleft(), it.Outcome.MOOT)
+                self.node.end_attempt(pool.waiting.popleft(), it.Outcome.MOOT)
             pool.forget_if_over()
 
     def close_idle(self) -> None:
@@ -277,7 +277,7 @@
     def start(self, attempt: Attempt) -> None:
         """Begin an attempt."""
         if (pool := self.pools.get(attempt.host)) is None:
-            return self.node.attempt_ended(attempt, it.Outcome.UNREACHABLE)
+            return self.node.end_attempt(attempt, it.Outcome.UNREACHABLE)
         pool.start(attempt)
 
     def drop(self, attempt: Attempt) -> None:
--- a/rainturn/node/requests.py
+++ b/rainturn/node/requests.py
@@ -11,44 +11,45 @@
 
 
 class Responder(Protocol):
-    """Where a request's final answer goes: its client's connection."""
+    """The destination of a request's final answer: the connection of its client."""
 
     def is_connected(self) -> bool:
-        """Whether the client is still there; if it is not, its requests end now."""
+        """Whether the client is still connected; if it is not, its requests end now."""
 
     def send_value(self, request: Request, value: bytes) -> None:
         """Answer with a host's value."""
 
     def send_refusal(self, request: Request, backoff_ms: float, until: float) -> None:
-        """Answer that trying again is harmless; a backoff over 0 says after how long.
+        """Answer that a repeat is harmless, after the backoff if that is over 0.
 
-        If its turn comes after `until` (Unix time in ms) that is not true any more, and it is a failure.
+        After `until` (Unix time in ms) a repeat is no longer harmless: if the answer's turn comes later, it
+        is sent as a failure.
         """
 
     def send_failure(self, request: Request) -> None:
-        """Answer with an error that promises nothing."""
+        """Answer with an error that does not tell whether the request has run."""
 
     def begin_value(self, request: Request, length: int) -> None:
-        """Begin a long value of so many bytes."""
+        """Begin a long value of `length` bytes."""
 
     def send_piece(self, request: Request, data: bytes) -> None:
         """Send a piece of a long value."""
 
     def accepts_piece(self, request: Request) -> bool:
-        """Whether the next piece of a long value may come."""
+        """Whether the next piece of a long value can be accepted."""
 
     def end_value(self, request: Request) -> None:
-        """End a long value that is whole."""
+        """End a complete long value."""
 
     def cut_value(self, request: Request) -> None:
-        """End a long value that is not whole, in a way that shows it to the client."""
+        """End an incomplete long value in a way that the client can detect."""
 
 
 class ValueSource(Protocol):
-    """Where a long value comes from: a connection to a host."""
+    """The source of a long value: a connection to a host."""
 
     def resume_value(self) -> None:
-        """Pass on more of the value."""
+        """Send more of the value."""
 
 
 class Request:
@@ -58,12 +59,12 @@
         "number",
         "arrival",
         "deadline",
-        "words",
-        "fields_before",
-        "fields_after",
+        "arguments",
+        "fields_before_deadline",
+        "fields_after_deadline",
         "client",
         "reply",
-        "reply_until",
+        "refusal_valid_until",
         "attempts",
         "open_attempts",
         "done",
@@ -80,40 +81,39 @@
         self,
         arrival: it.Arrived,
         deadline: float,
-        words: list[bytes],
-        fields_before: bytes,
-        fields_after: bytes,
+        arguments: list[bytes],
+        fields_before_deadline: bytes,
+        fields_after_deadline: bytes,
         client: Responder,
         held_bytes: int,
         time_limit_ms: float = math.inf,
         body: Body | None = None,
     ) -> None:
         self.number, self.arrival = arrival.request, arrival
-        self.deadline = deadline  # when its answer must have been written; infinite until its body is whole
-        self.time_limit_ms = time_limit_ms  # from its last byte to its answer
-        self.words = words  # the command as it came
-        self.fields_before = (
-            fields_before  # the text of its fields before `d=...`; each attempt sends its own `d`
-        )
-        self.fields_after = fields_after  # the text behind that
+        self.deadline = deadline  # of the answer to the client; infinite until a streamed body is complete
+        self.time_limit_ms = time_limit_ms  # from the last byte of the request to its answer
+        self.arguments = arguments  # of the command, as received
+        # The text of the fields on both sides of `d=...`: each attempt sends its own value of `d`.
+        self.fields_before_deadline = fields_before_deadline
+        self.fields_after_deadline = fields_after_deadline
         self.client, self.held_bytes = client, held_bytes
-        self.body = body  # its last value, if that is passed on
-        self.reply: bytes | None = None  # the answer, while it waits for those before it
-        self.reply_until = math.inf  # a refusal is a failure after this
-        self.value_pieces: list[bytes] = []  # of a long value, while they wait for the answers before it
-        self.value_source: ValueSource | None = None  # set once a long value has begun: no other can be given
-        self.attempts: list[Attempt | None] = []  # by number; None: it has ended
+        self.body = body  # the last argument, if it is streamed to the host
+        self.reply: bytes | None = None  # the answer, while it waits for earlier answers of the connection
+        self.refusal_valid_until = math.inf  # a refusal that is sent later becomes a failure
+        self.value_pieces: list[bytes] = []  # of a long value, while they wait for earlier answers
+        self.value_source: ValueSource | None = None  # set once a long value has begun: the answer is fixed
+        self.attempts: list[Attempt | None] = []  # by number; None: the attempt has ended
         self.open_attempts = 0
-        self.done = False  # whether it has ended for its client
-        self.may_have_run = False  # whether an attempt that has ended may have run
+        self.done = False  # whether its final answer is decided or its client has left
+        self.may_have_run = False  # whether an ended attempt may have run at its host
         self.deadline_timer: asyncio.TimerHandle | None = None
 
     def is_complete(self) -> bool:
-        """Whether its last byte has come."""
-        return self.body is None or self.body.whole
+        """Whether the last byte of the request has arrived."""
+        return self.body is None or self.body.fully_received
 
     def may_run(self) -> bool:
-        """Whether an attempt of it may have run, or may yet; one that waits for a connection can't."""
+        """Whether an attempt may have run or may still run; one that waits for a connection cannot."""
         return self.may_have_run or any(
             attempt is not None and attempt.connection is not None for attempt in self.attempts
         )
@@ -135,6 +135,6 @@
     ) -> None:
         self.request, self.number, self.host = request, number, host
         self.started_at, self.deadline = started_at, deadline
-        self.begin_by = begin_by  # a repeat that waited beyond this for its connection is no repeat any more
-        self.connection: object | None = None  # set once its bytes were handed to one
+        self.begin_by = begin_by  # a repeat that gets its connection later is no longer safe and is not sent
+        self.connection: object | None = None  # set once the command has been written to it
         self.timer: asyncio.TimerHandle | None = None
--- a/rainturn/node/resp.py
+++ b/rainturn/node/resp.py
@@ -1,8 +1,9 @@
-"""RESP as the node writes and reads it: strict shapes and limits, and what outgoing connections share.
+"""The parts of RESP2 that the node writes and parses, and the common base of outgoing connections.
 
-Every reader judges what has come so far. It gives a whole message, or None while that may yet become one, or
-raises `Spoilt` as soon as it cannot. So an absurd length costs nothing: nobody waits or makes room for it.
-The bytes that end a value are checked too, as a length that does not fit shows only there.
+Each parser looks at the bytes received so far. It returns a complete message, or None while the bytes may
+still become one, or raises `ProtocolError` as soon as they cannot. An absurd length is therefore rejected at
+once: nothing waits for its bytes or allocates memory for them. The CRLF after a value is checked too, because
+a wrong length shows only there.
 """
 
 from __future__ import annotations
@@ -17,241 +18,255 @@
 from collections.abc import Sequence
 from typing import NamedTuple, cast
 
-WHOLE = 64 * 1024  # bytes of a value that is kept whole; a longer one is passed on as it comes
-MAX_VALUE = 4 << 20  # bytes of a value that is passed on
-MAX_COMMAND = 2 * WHOLE  # bytes of all values of a command but one that is passed on
-BODY = 4  # where a command's body stands among its values
-MAX_WORDS = 16  # values of a command
-MAX_ERROR = 256  # bytes of an error line
-
-_COUNT = re.compile(rb"\*([0-9]{1,2})\r\n")
-_COUNT_PART = re.compile(rb"\*(?:[0-9]{1,2}\r?)?")
-_BULK = re.compile(rb"\$([0-9]{1,7})\r\n")
-_BULK_PART = re.compile(rb"(?:\$(?:[0-9]{1,7}\r?)?)?")
-_ARRAY = re.compile(rb"\*([1-9])\r\n")
-_ARRAY_PART = re.compile(rb"\*(?:[1-9]\r?)?")
-_ERROR = re.compile(rb"-([ -~]{1,%d})\r\n" % MAX_ERROR)
-_ERROR_PART = re.compile(rb"-[ -~]{0,%d}\r?" % MAX_ERROR)
+MAX_BUFFERED_BYTES = 64 * 1024  # largest value that is buffered whole; a longer one is streamed
+MAX_STREAMED_BYTES = 4 << 20  # largest value that is streamed
+MAX_COMMAND_BYTES = 2 * MAX_BUFFERED_BYTES  # of all arguments of a command without a streamed one
+BODY_INDEX = 4  # position of a command's body among its arguments
+MAX_ARGUMENTS = 16  # of a command
+MAX_ERROR_BYTES = 256  # of an error line
+
+# Each `..._PREFIX` pattern matches the beginnings of the text that the pattern before it matches.
+_COMMAND_HEADER = re.compile(rb"\*([0-9]{1,2})\r\n")
+_COMMAND_HEADER_PREFIX = re.compile(rb"\*(?:[0-9]{1,2}\r?)?")
+_STRING_HEADER = re.compile(rb"\$([0-9]{1,7})\r\n")
+_STRING_HEADER_PREFIX = re.compile(rb"(?:\$(?:[0-9]{1,7}\r?)?)?")
+_ANSWER_HEADER = re.compile(rb"\*([1-9])\r\n")
+_ANSWER_HEADER_PREFIX = re.compile(rb"\*(?:[1-9]\r?)?")
+_ERROR_LINE = re.compile(rb"-([ -~]{1,%d})\r\n" % MAX_ERROR_BYTES)
+_ERROR_LINE_PREFIX = re.compile(rb"-[ -~]{0,%d}\r?" % MAX_ERROR_BYTES)
 _FIELD = re.compile(rb"[$*]-1\r\n|:-?[0-9]{1,18}\r\n")
-_FIELD_PART = re.compile(rb"(?:[$*](?:-(?:1\r?)?)?|:-?[0-9]{0,18}\r?)?")
+_FIELD_PREFIX = re.compile(rb"(?:[$*](?:-(?:1\r?)?)?|:-?[0-9]{0,18}\r?)?")
 _NUMBER = re.compile(rb"[+-]?(?:[0-9]{1,40}(?:\.[0-9]{0,40})?|\.[0-9]{1,40})(?:[eE][+-]?[0-9]{1,2})?")
-NULLS = b"$-1\r\n$-1\r\n"
+TWO_NULLS = b"$-1\r\n$-1\r\n"
 
 
-class Spoilt(Exception):
-    """What came can be no message of its kind, however it may go on."""
+class ProtocolError(Exception):
+    """The received bytes cannot become a message of the expected kind, whatever follows them."""
 
 
 class Command(NamedTuple):
-    """A command's values and where it ends; a body follows from there, so many bytes long, if it has one."""
+    """A command's arguments and the offset of its end.
 
-    words: list[bytes]
+    A command with a body ends where the body begins; `body_length` is the length of the body in bytes.
+    """
+
+    arguments: list[bytes]
     end: int
-    body: int | None
+    body_length: int | None
 
 
 class Answer(NamedTuple):
-    """A host's answer: a value, or else the text of an error; so many fields follow from `end`."""
+    """A host's answer: a value, or None and the text of an error. `field_count` fields follow at `end`."""
 
     value: bytes | None
     error: bytes
     end: int
-    fields: int
+    field_count: int
 
 
 class LongValue(NamedTuple):
-    """The head of an answer whose value is passed on: where the value begins, and its length."""
+    """The header of an answer whose value is streamed: the offset of the value and its length in bytes."""
 
     start: int
     length: int
-    fields: int
+    field_count: int
 
 
-class Total(NamedTuple):
-    """The counter's answer and where it ends; no total: turned away, nothing was added."""
+class CounterAnswer(NamedTuple):
+    """The counter's answer and the offset of its end. Total None: the call was refused and added nothing."""
 
     total: float | None
     end: int
 
 
-def pack(words: Sequence[bytes]) -> bytes:
-    """A command as an array of bulk strings."""
-    return b"*%d\r\n%s" % (len(words), b"".join([b"$%d\r\n%s\r\n" % (len(w), w) for w in words]))
+def pack(arguments: Sequence[bytes]) -> bytes:
+    """Encode a command as an array of bulk strings."""
+    return b"*%d\r\n%s" % (len(arguments), b"".join([b"$%d\r\n%s\r\n" % (len(a), a) for a in arguments]))
 
 
-def _part(pattern: re.Pattern[bytes], data: bytes, at: int, what: str) -> None:
-    if not pattern.fullmatch(data, at):
-        raise Spoilt(what)
+def _check_prefix(pattern: re.Pattern[bytes], data: bytes, offset: int, error: str) -> None:
+    """Raise a `ProtocolError` unless all bytes from `offset` match a prefix pattern."""
+    if not pattern.fullmatch(data, offset):
+        raise ProtocolError(error)
 
 
-def _bulk(data: bytes, at: int) -> tuple[int, int] | None:
-    """Where the bytes of the string at `at` begin and end."""
-    head = _BULK.match(data, at)
-    if head is None:
-        _part(_BULK_PART, data, at, "expected a string of at most 64 KiB")
+def _parse_string(data: bytes, offset: int) -> tuple[int, int] | None:
+    """Return the offsets at which the content of the bulk string at `offset` begins and ends."""
+    header = _STRING_HEADER.match(data, offset)
+    if header is None:
+        _check_prefix(_STRING_HEADER_PREFIX, data, offset, "expected a string of at most 64 KiB")
         return None
-    start = head.end()
-    end = start + int(head[1])
-    if end - start > WHOLE:
-        raise Spoilt("value too long")
+    start = header.end()
+    end = start + int(header[1])
+    if end - start > MAX_BUFFERED_BYTES:
+        raise ProtocolError("value too long")
     tail = data[end : end + 2]
     if tail != b"\r\n"[: len(tail)]:
-        raise Spoilt("a length does not fit")
+        raise ProtocolError("a length does not fit")
     return (start, end) if len(tail) == 2 else None
 
 
-def _length(data: bytes, at: int) -> tuple[int, int] | None:
-    """Where the value at `at` begins, and its length."""
-    head = _BULK.match(data, at)
-    if head is None:
-        _part(_BULK_PART, data, at, "expected a string of at most 4 MiB")
+def _parse_string_header(data: bytes, offset: int) -> tuple[int, int] | None:
+    """Return the offset at which the value of the bulk string at `offset` begins, and its length."""
+    header = _STRING_HEADER.match(data, offset)
+    if header is None:
+        _check_prefix(_STRING_HEADER_PREFIX, data, offset, "expected a string of at most 4 MiB")
         return None
-    if int(head[1]) > MAX_VALUE:
-        raise Spoilt("value too long")
-    return head.end(), int(head[1])
+    if int(header[1]) > MAX_STREAMED_BYTES:
+        raise ProtocolError("value too long")
+    return header.end(), int(header[1])
 
 
-def command(data: bytes, at: int) -> Command | None:
-    """The command at `at`, up to its body."""
-    head = _COUNT.match(data, at)
-    if head is None:
-        _part(_COUNT_PART, data, at, "expected an array of bulk strings")
+def parse_command(data: bytes, offset: int) -> Command | None:
+    """Parse the command at `offset`, up to its body if it has one."""
+    header = _COMMAND_HEADER.match(data, offset)
+    if header is None:
+        _check_prefix(_COMMAND_HEADER_PREFIX, data, offset, "expected an array of bulk strings")
         return None
-    count, first = int(head[1]), head.end()
-    if not 1 <= count <= MAX_WORDS:
-        raise Spoilt("wrong number of arguments")
-    words: list[bytes] = []
-    at = first
+    count, first = int(header[1]), header.end()
+    if not 1 <= count <= MAX_ARGUMENTS:
+        raise ProtocolError("wrong number of arguments")
+    arguments: list[bytes] = []
+    offset = first
     for n in range(count):
-        if at - first > MAX_COMMAND:
-            raise Spoilt("command too long")
-        if n == BODY and n == count - 1:
-            body = _length(data, at)
-            return Command(words, *body) if body is not None else None
-        place = _bulk(data, at)
-        if place is None:
+        if offset - first > MAX_COMMAND_BYTES:
+            raise ProtocolError("command too long")
+        if n == BODY_INDEX and n == count - 1:
+            body = _parse_string_header(data, offset)
+            return Command(arguments, *body) if body is not None else None
+        bounds = _parse_string(data, offset)
+        if bounds is None:
             return None
-        words.append(data[place[0] : place[1]])
-        at = place[1] + 2
-    return Command(words, at, None)
+        arguments.append(data[bounds[0] : bounds[1]])
+        offset = bounds[1] + 2
+    return Command(arguments, offset, None)
 
 
-def answer(data: bytes) -> Answer | LongValue | None:
-    """What a host answers: an array that begins with the value, or an error line.
+def parse_answer(data: bytes) -> Answer | LongValue | None:
+    """Parse a host's answer: an array that begins with the value, or an error line.
 
-    The value counts once it is whole, whatever follows: see `fields` for that.
+    The value is valid once it is complete, whatever follows it. See `check_fields` for the fields after it.
     """
-    head = _ARRAY.match(data)
-    if head is None:
-        if error := _ERROR.match(data):
+    header = _ANSWER_HEADER.match(data)
+    if header is None:
+        if error := _ERROR_LINE.match(data):
             return Answer(None, error[1], error.end(), 0)
-        _part(_ERROR_PART if data.startswith(b"-") else _ARRAY_PART, data, 0, "neither value nor error")
+        _check_prefix(
+            _ERROR_LINE_PREFIX if data.startswith(b"-") else _ANSWER_HEADER_PREFIX,
+            data,
+            0,
+            "neither value nor error",
+        )
         return None
-    value = _length(data, head.end())
+    value = _parse_string_header(data, header.end())
     if value is None:
         return None
-    if value[1] > WHOLE:
-        # A head alone binds nothing: if nothing follows it another attempt may still serve.
+    if value[1] > MAX_BUFFERED_BYTES:
+        # A header alone does not bind the request to this attempt: if nothing follows it, another attempt may
+        # still give the answer.
         if len(data) == value[0]:
             return None
-        return LongValue(*value, int(head[1]) - 1)
-    place = _bulk(data, head.end())
-    if place is None:
+        return LongValue(*value, int(header[1]) - 1)
+    bounds = _parse_string(data, header.end())
+    if bounds is None:
         return None
-    start, end = place
-    return Answer(data[start:end], b"", end + 2, int(head[1]) - 1)
+    start, end = bounds
+    return Answer(data[start:end], b"", end + 2, int(header[1]) - 1)
 
 
-def fields(data: bytes, at: int, count: int) -> bool | None:
-    """Whether just so many fields follow that can be read; None: that may yet be."""
-    if count == 2 and data[at:] == NULLS:
+def check_fields(data: bytes, offset: int, count: int) -> bool | None:
+    """Whether exactly `count` well-formed fields follow. Returns None if more bytes are needed to tell."""
+    if count == 2 and data[offset:] == TWO_NULLS:
         return True
     for _ in range(count):
-        if field := _FIELD.match(data, at):
-            at = field.end()
+        if field := _FIELD.match(data, offset):
+            offset = field.end()
             continue
-        if _FIELD_PART.fullmatch(data, at):
+        if _FIELD_PREFIX.fullmatch(data, offset):
             return None
         try:
-            place = _bulk(data, at)
-        except Spoilt:
+            bounds = _parse_string(data, offset)
+        except ProtocolError:
             return False
-        if place is None:
+        if bounds is None:
             return None
-        at = place[1] + 2
-    return at == len(data)
+        offset = bounds[1] + 2
+    return offset == len(data)
 
 
-def total(data: bytes, at: int) -> Total | None:
-    """What the counter answers: a number in a string, or that it added nothing.
+def parse_counter_answer(data: bytes, offset: int) -> CounterAnswer | None:
+    """Parse the counter's answer: a number in a bulk string, or an error that says that nothing was added.
 
-    Only `-BUSY` and `-ERR` say that: after any other line the amount may have been added.
+    Only `-BUSY` and `-ERR` say that. After any other line the amount may have been added.
     """
-    if data.startswith(b"-", at):
-        error = _ERROR.match(data, at)
+    if data.startswith(b"-", offset):
+        error = _ERROR_LINE.match(data, offset)
         if error is None:
-            _part(_ERROR_PART, data, at, "error line too long")
+            _check_prefix(_ERROR_LINE_PREFIX, data, offset, "error line too long")
             return None
         if error[1].split(b" ", 1)[0] not in (b"BUSY", b"ERR"):
-            raise Spoilt("unknown error")
-        return Total(None, error.end())
-    place = _bulk(data, at)
-    if place is None:
-        if len(data) - at > MAX_ERROR:
-            raise Spoilt("too long for a number")
+            raise ProtocolError("unknown error")
+        return CounterAnswer(None, error.end())
+    bounds = _parse_string(data, offset)
+    if bounds is None:
+        if len(data) - offset > MAX_ERROR_BYTES:
+            raise ProtocolError("too long for a number")
         return None
-    if not _NUMBER.fullmatch(data, *place):
-        raise Spoilt("not a number")
-    return Total(float(data[place[0] : place[1]]), place[1] + 2)
+    if not _NUMBER.fullmatch(data, *bounds):
+        raise ProtocolError("not a number")
+    return CounterAnswer(float(data[bounds[0] : bounds[1]]), bounds[1] + 2)
 
 
-def unsent(transport: asyncio.Transport) -> int:
-    """Bytes that the other side has not taken yet, here and in the system: they show whether it moves."""
-    held = bytearray(4)
+def count_unsent_bytes(transport: asyncio.Transport) -> int:
+    """Return how many bytes the peer has not acknowledged: in our buffer and in the socket's send queue.
+
+    Two calls show whether the peer still takes bytes.
+    """
+    queue_size = bytearray(4)
     if transport.is_closing():
         return transport.get_write_buffer_size()
-    with contextlib.suppress(OSError):  # the other side has broken it
-        fcntl.ioctl(transport.get_extra_info("socket").fileno(), termios.TIOCOUTQ, held)
-    return transport.get_write_buffer_size() + int.from_bytes(held, sys.byteorder)
+    with contextlib.suppress(OSError):  # the peer has broken the connection
+        fcntl.ioctl(transport.get_extra_info("socket").fileno(), termios.TIOCOUTQ, queue_size)
+    return transport.get_write_buffer_size() + int.from_bytes(queue_size, sys.byteorder)
 
 
-def unread(transport: asyncio.Transport) -> int:
-    """Bytes that have come and lie in the system; 0 where it does not tell."""
-    waiting = bytearray(4)
-    with contextlib.suppress(OSError):  # the other side has broken it
-        fcntl.ioctl(transport.get_extra_info("socket").fileno(), termios.FIONREAD, waiting)
-    return int.from_bytes(waiting, sys.byteorder)
+def count_unread_bytes(transport: asyncio.Transport) -> int:
+    """Return how many received bytes are in the socket's receive queue, or 0 if the system does not tell."""
+    queue_size = bytearray(4)
+    with contextlib.suppress(OSError):  # the peer has broken the connection
+        fcntl.ioctl(transport.get_extra_info("socket").fileno(), termios.FIONREAD, queue_size)
+    return int.from_bytes(queue_size, sys.byteorder)
 
 
 def end_sending(transport: asyncio.Transport) -> None:
-    """End our side of a connection now: the loop closes what is aborted only in its next turn."""
+    """Shut down our sending side at once; the loop closes an aborted transport only in its next iteration."""
     if transport.is_closing():
         return
-    with contextlib.suppress(OSError):  # the other side has broken it
-        raw = socket.socket(fileno=transport.get_extra_info("socket").fileno())
+    with contextlib.suppress(OSError):  # the peer has broken the connection
+        wrapper = socket.socket(fileno=transport.get_extra_info("socket").fileno())
         try:
-            raw.shutdown(socket.SHUT_WR)
+            wrapper.shutdown(socket.SHUT_WR)
         finally:
-            raw.detach()
+            wrapper.detach()  # keeps the descriptor open for the transport
 
 
-class Outgoing(asyncio.Protocol):
-    """A connection that we opened; `unsent` says whether bytes of ours have not left yet."""
+class OutgoingConnection(asyncio.Protocol):
+    """A connection opened by the gateway. `has_unsent_bytes`: whether our write buffer is not empty."""
 
     def __init__(self) -> None:
         self.transport: asyncio.Transport
-        self.buffer = b""  # what has come of a message that is not whole yet
-        self.unsent = self.closed = False
+        self.buffer = b""  # received bytes of a message that is still incomplete
+        self.has_unsent_bytes = self.closed = False
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Ask to be told whenever bytes stay behind in our buffer."""
+        """Set the buffer limits so that `pause_writing` is called as soon as bytes stay in our buffer."""
         self.transport = cast(asyncio.Transport, transport)
         self.transport.set_write_buffer_limits(0)
 
     def pause_writing(self) -> None:
-        """Some bytes have not left."""
-        self.unsent = True
+        """Note that some bytes have not been sent."""
+        self.has_unsent_bytes = True
 
     def resume_writing(self) -> None:
-        """The last byte has left."""
-        self.unsent = False
+        """Note that all bytes have been sent."""
+        self.has_unsent_bytes = False
--- a/rainturn/node/shutdown.py
+++ b/rainturn/node/shutdown.py
@@ -32,6 +32,6 @@
     await parts.clients.wait_closed(end - loop.time())
     parts.clients.refuse_all()  # what waited behind the requests below is taken as they end
     for request in [r for r in node.requests.values() if not r.done]:
-        node.end_now(request)
+        node.end_request_now(request)
     await parts.clients.close()
     await asyncio.sleep(LAST_CALLS_S)
--- a/rainturn/node/succession.py
+++ b/rainturn/node/succession.py
@@ -24,7 +24,7 @@
 
 def carried(parts: Parts) -> dict[str, Any]:
     """What the module passes on, its hosts by their names: their numbers differ from process to process."""
-    state = dict[str, Any](save_state(parts.node.module)) | {CLOCK_BASE: parts.node.clock.base}
+    state = dict[str, Any](save_state(parts.node.decision_module)) | {CLOCK_BASE: parts.node.clock.base_ms}
     pools = parts.pools.pools
     state["hosts"] = {
         pools[int(number)].name: values for number, values in state["hosts"].items() if int(number) in pools
@@ -37,7 +37,7 @@
     try:
         numbers = parts.discovery.table.numbers
         hosts = {str(numbers[name]): values for name, values in state["hosts"].items() if name in numbers}
-        restore_state(parts.node.module, parts.node.clock.now(), state | {"hosts": hosts})
+        restore_state(parts.node.decision_module, parts.node.clock.now(), state | {"hosts": hosts})
         log.info("handover: carried on")
     except (AttributeError, IndexError, KeyError, OverflowError, TypeError, ValueError) as error:
         log.warning("handover: state passed over: %r", error)
--- a/rainturn/node/system_errors.py
+++ b/rainturn/node/system_errors.py
@@ -1,4 +1,4 @@
-"""Which failures of system calls are this machine's own and pass by themselves, as Linux documents them."""
+"""Classification of failed system calls: temporary failures of this machine, as documented for Linux."""
 
 from __future__ import annotations
 
@@ -10,8 +10,8 @@
 
 ProtocolT = TypeVar("ProtocolT", bound=asyncio.BaseProtocol)
 
-# For want of descriptors, buffers, memory or local ports, or by a signal: nothing is said of the other side.
-SHORTAGES = frozenset(
+# A lack of descriptors, buffers, memory or local ports, or a signal. These say nothing about the remote side.
+LOCAL_SHORTAGES = frozenset(
     {
         errno.EMFILE,
         errno.ENFILE,
@@ -22,9 +22,9 @@
         errno.EINTR,
     }
 )
-# Of connect: a route may be missing for a moment, or for as long as the host is cut off.
+# Errors of connect: a route may be missing for a moment, or for as long as the host is cut off.
 ROUTE_MISSING = frozenset({errno.ENETUNREACH, errno.ENETDOWN})
-# Of accept: the connection that would have been accepted has gone, or its network has; others may wait.
+# Errors of accept: the pending connection or its network has gone; other connections may be pending.
 CLIENT_GONE = frozenset(
     {
         errno.ECONNABORTED,
@@ -41,23 +41,26 @@
         errno.ETIMEDOUT,
     }
 )
-RETRY_S = 0.02  # pause after a call that failed for a shortage
-LISTEN_FOR_S = 5.0  # how long a start waits for its address
+RETRY_S = 0.02  # delay before a call that failed for a local shortage is made again
+LISTEN_RETRY_LIMIT_S = 5.0  # how long the start of a process retries to listen at its address
 
 
-class OwnShortage(OSError):
-    """No connection came up in its time, for a shortage of this machine and not for the other side."""
+class LocalShortageError(OSError):
+    """No connection was made within the time limit because of a shortage on this machine, not remotely."""
 
 
-async def listening_socket(address: tuple[str, int], backlog: int) -> socket.socket:
-    """A socket that listens on one address only; a shortage of our own is waited out for a while."""
+async def open_listening_socket(address: tuple[str, int], backlog: int) -> socket.socket:
+    """Open a socket that listens on one address, retrying for `LISTEN_RETRY_LIMIT_S` on a local shortage.
+
+    Raises an OSError if that limit has passed, or for any other failure.
+    """
     loop = asyncio.get_running_loop()
-    end = loop.time() + LISTEN_FOR_S
+    end = loop.time() + LISTEN_RETRY_LIMIT_S
     while True:
         try:
             return socket.create_server(address, backlog=backlog)
         except OSError as error:
-            if error.errno not in SHORTAGES or loop.time() >= end:
+            if error.errno not in LOCAL_SHORTAGES or loop.time() >= end:
                 raise
         await asyncio.sleep(RETRY_S)
 
@@ -68,12 +71,12 @@
     address: tuple[str, int],
     limit_s: float,
 ) -> ProtocolT:
-    """Connect within the limit; for a shortage of our own, or a missing route, try again until then.
+    """Connect within the limit, retrying on a local shortage or a missing route.
 
-    Raises an `OwnShortage` where that lasted until the end, and otherwise an OSError (a time-out is one) or,
-    for a name that can be no host, a ValueError.
+    Raises a `LocalShortageError` if a shortage lasts until the limit. Any other failure raises an OSError, of
+    which a time-out is one kind, or a ValueError if the name cannot be that of a host.
     """
-    short = False
+    shortage = False
     try:
         async with asyncio.timeout(limit_s):
             while True:
@@ -81,11 +84,11 @@
                     _, connection = await loop.create_connection(protocol, *address)
                     return connection
                 except OSError as error:
-                    short = error.errno in SHORTAGES
-                    if not short and error.errno not in ROUTE_MISSING:
+                    shortage = error.errno in LOCAL_SHORTAGES
+                    if not shortage and error.errno not in ROUTE_MISSING:
                         raise
                 await asyncio.sleep(RETRY_S)
     except TimeoutError:
-        if short:
-            raise OwnShortage("no connection could be made") from None
+        if shortage:
+            raise LocalShortageError("no connection could be made because of a local shortage") from None
         raise
--- a/tests/sockets.py
+++ b/tests/sockets.py
@@ -342,7 +342,7 @@
 
     def left_behind(self) -> dict[str, Any]:
         """All that the gateway holds for clients and for work under way; idle connections are not."""
-        node, pools, module = self.parts.node, self.parts.pools, self.parts.node.module
+        node, pools, module = self.parts.node, self.parts.pools, self.parts.node.decision_module
         attempts = module.attempts
         held: dict[str, list[Any]] = {
             "clients": [self.parts.clients.connections, *self.parts.clients.timeouts.states],
--- a/tests/test_audit_counter.py
+++ b/tests/test_audit_counter.py
@@ -5,7 +5,7 @@
 import re
 
 from rainturn import interface as it
-from rainturn.node.resp import total
+from rainturn.node.resp import parse_counter_answer
 from tests.helpers import PLAN, Drive, of, settings
 from tests.sockets import World, run, soon
 
@@ -24,7 +24,7 @@
 
 def test_every_total_that_can_be_read_is_taken() -> None:
     for text, value in READABLE.items():
-        found = total(b"$%d\r\n%s\r\n" % (len(text), text), 0)
+        found = parse_counter_answer(b"$%d\r\n%s\r\n" % (len(text), text), 0)
         assert found is not None and found.total is not None
         assert abs(found.total - value) < 1e-9, text
 
--- a/tests/test_emulator_services.py
+++ b/tests/test_emulator_services.py
@@ -22,7 +22,7 @@
     wire_settings,
     zone_names,
 )
-from rainturn.node.counter import Counter
+from rainturn.node.counter import CounterClient
 from rainturn.node.discovery import Discovery
 from rainturn.node.gateway import Clock, Node, Request
 from rainturn.node.host_pools import HostPools
@@ -73,14 +73,14 @@
         client = Discovery(node, pools, tuple(zone_names()), address, 1)
         client.start()
         await until(lambda: client.seq == 1)
-        assert node.module.listed() == 30
+        assert node.decision_module.listed() == 30
         await soon(service.watched(1))
         service.change([lines[0].with_health("terminating")])
         await soon(service.watched(1))
-        assert client.seq == 2 and node.module.skipped() == 1
+        assert client.seq == 2 and node.decision_module.skipped() == 1
         service.change([line.with_health(GONE) for line in lines[1:11]])
         await soon(service.watched(1))
-        assert client.seq == 3 and node.module.listed() == 20
+        assert client.seq == 3 and node.decision_module.listed() == 20
         traffic = service.traffic["real"]
         assert traffic.whole_lists == 1 and traffic.messages_in >= 4
         await client.stop()
@@ -152,7 +152,7 @@
         answered: list[it.CountAnswered] = []
         node = Node(settings_from(wire_settings(0, 1)), 1, Clock(), asyncio.get_running_loop())
         node.feed = answered.append  # type: ignore[assignment, method-assign]
-        counter = Counter(node, address)
+        counter = CounterClient(node, address)
         counter.call(7, 2.0, 4000.0)
         counter.call(7, 1.5, 4000.0)
         await until(lambda: len(answered) == 2)
--- a/tests/test_node_clients.py
+++ b/tests/test_node_clients.py
@@ -100,7 +100,7 @@
                 client = await world.client()
                 client.send(*words)
                 assert str(await client.answer()).startswith("-ERR"), words
-            assert not world.parts.node.module.customers and not world.counter.commands.qsize()
+            assert not world.parts.node.decision_module.customers and not world.counter.commands.qsize()
             client.send(b"CLIENT", b"SETNAME", b"x")
             client.ask(b"good")
             assert [await client.answer(), await client.answer()] == [b"OK", b"value"]
@@ -299,20 +299,22 @@
         gone = asyncio.Event()
         async with World(_silent) as world:
             node = world.parts.node
-            handle = node.module.handle
+            handle = node.decision_module.handle
 
             def spy(now: float, event: it.Event) -> list[it.Action]:
                 if isinstance(event, it.RequestGone):
                     gone.set()
                 return handle(now, event)
 
-            node.module.handle = spy  # type: ignore[method-assign]
+            node.decision_module.handle = spy  # type: ignore[method-assign]
             client = await world.client()
             client.ask(b"1", wait=1000)
             await soon(world.hosts[0].commands.get())
             client.writer.close()
             await soon(gone.wait())
-            assert not node.module.open and not world.parts.clients.connections and not node.unanswered
+            assert (
+                not node.decision_module.open and not world.parts.clients.connections and not node.unanswered
+            )
             await soon(world.hosts[0].closed.get())  # the attempt ends at the deadline with its connection
             assert not node.requests and not node.held_bytes
 
@@ -354,7 +356,7 @@
             while node.requests or world.parts.clients.connections:  # the loop tells of an end a turn later
                 await asyncio.sleep(0.01)
             assert world.hosts[0].commands.empty() and not node.held_bytes and not node.unanswered
-            assert not node.module.open
+            assert not node.decision_module.open
 
     run(main())
 
@@ -380,7 +382,9 @@
             while world.parts.clients.connections:
                 await asyncio.sleep(0.01)
             assert (
-                node.serial == client_connection.MAX_PENDING and not node.module.open and not node.unanswered
+                node.last_request_number == client_connection.MAX_PENDING
+                and not node.decision_module.open
+                and not node.unanswered
             )
 
     run(main())
@@ -451,12 +455,12 @@
             release.set()
             for attempt in held:
                 start(attempt)
-            (customer,) = node.module.customers.values()
+            (customer,) = node.decision_module.customers.values()
             while customer.call is not None or customer.waiting:
                 await asyncio.sleep(0.01)
             while len(node.requests) > (what == "another"):
                 await asyncio.sleep(0.01)
-            assert world.hosts[0].commands.empty() and not node.module.open
+            assert world.hosts[0].commands.empty() and not node.decision_module.open
             total = totals.totals[b"%d" % units_name(customer.key, customer.window)]
             assert total + customer.unreported == (1 if what == "another" else 0)  # that one came to a host
 
@@ -510,7 +514,7 @@
             if wait == "counter":
                 node.counter.call = lambda name, amount, ttl: calls.append(name)  # type: ignore[method-assign]
             if wait == "hosts":
-                numbers = list(node.module.hosts)
+                numbers = list(node.decision_module.hosts)
                 node.feed(it.HostList(it.ListKind.FULL))
             if wait == "unread":  # more than may be open, so that nothing is read, then what goes first
                 for _ in range(client_connection.MAX_PENDING + 4):
@@ -575,7 +579,7 @@
             for _ in range(20):  # what had been written would come
                 await asyncio.sleep(0.002)
             assert sum(host.commands.qsize() for host in world.hosts) == before
-            assert not node.module.open and not node.unanswered
+            assert not node.decision_module.open and not node.unanswered
             leaver.sock.close()
 
     run(main())
@@ -588,14 +592,14 @@
             client.ask(b"1", b"pay", body=b"x")
             while not held:
                 await asyncio.sleep(0)
-            world.parts.node.end_now(held[0].request)
+            world.parts.node.end_request_now(held[0].request)
             assert await client.answer() == "-BUSY"
 
     run(main())
 
 
 def test_an_answer_is_written_before_the_clients_time_is_over(monkeypatch: Any) -> None:
-    monkeypatch.setattr(client_commands, "MARGIN_MS", 400.0)
+    monkeypatch.setattr(client_commands, "REPLY_MARGIN_MS", 400.0)
 
     async def main() -> None:
         async with World(_silent) as world:
@@ -674,7 +678,7 @@
         async with World(lambda words: served(b"x" * 60_000)) as world:
             client = await _not_reading(world)
             await soon(blocked.wait())
-            assert world.parts.node.serial < 1000  # it read no more
+            assert world.parts.node.last_request_number < 1000  # it read no more
             for connection in world.parts.clients.connections:
                 unread = connection.transport.get_write_buffer_size()
                 assert unread <= (1 << 16) + 60_100 * client_connection.MAX_PENDING
--- a/tests/test_node_crowd.py
+++ b/tests/test_node_crowd.py
@@ -184,7 +184,7 @@
             agent.put(json.dumps({"seq": 5, "whole": True, "hosts": hosts}, indent=4).encode())
             world.parts.discovery.seq = None
             world.parts.discovery.start()
-            while world.parts.node.module.listed() < 1024:
+            while world.parts.node.decision_module.listed() < 1024:
                 await asyncio.sleep(0.01)
             client = await world.client()
             for n in range(30):
@@ -202,7 +202,7 @@
                     "hosts": [host | {"health": "terminated"} for host in hosts[:1000]],
                 }
             )
-            while world.parts.node.module.listed() > 24:
+            while world.parts.node.decision_module.listed() > 24:
                 await asyncio.sleep(0.01)
             await world.parts.discovery.stop()
             agent.server.close()
--- a/tests/test_node_hosts.py
+++ b/tests/test_node_hosts.py
@@ -22,8 +22,8 @@
     def __init__(self, world: World) -> None:
         self.events: asyncio.Queue[it.Event] = asyncio.Queue()
         self.seen: list[it.Event] = []
-        self.handle = world.parts.node.module.handle
-        world.parts.node.module.handle = self._spy  # type: ignore[method-assign]
+        self.handle = world.parts.node.decision_module.handle
+        world.parts.node.decision_module.handle = self._spy  # type: ignore[method-assign]
 
     def _spy(self, now: float, event: it.Event) -> list[it.Action]:
         self.events.put_nowait(event)
@@ -65,8 +65,8 @@
     """An attempt of a request that the module does not know, at the first host."""
     node = world.parts.node
     now = node.clock.now()
-    node.serial += 1
-    arrival = it.Arrived(node.serial, now + 3000, 1, 0, 0)
+    node.last_request_number += 1
+    arrival = it.Arrived(node.last_request_number, now + 3000, 1, 0, 0)
     words = [b"API.READ", b"0" * 16, b"1", b""]
     request = Request(arrival, now + 3000, words, b"c=read,", b"", NoClient(), 9)
     node.requests[request.number] = request
@@ -129,7 +129,7 @@
             pool = world.parts.pools.pools[1]
             pool.address = host.getsockname()
             attempt = _attempt(world)
-            attempt.request.words.append(b"x" * (16 << 20))  # more than the buffers of the system take
+            attempt.request.arguments.append(b"x" * (16 << 20))  # more than the buffers of the system take
             pool.start(attempt)
             sock, _ = await soon(asyncio.get_running_loop().sock_accept(host))
             reader, writer = await asyncio.open_connection(sock=sock, limit=1024)
@@ -184,7 +184,7 @@
         async with World(lambda words: served()) as world:
             log, attempt = Log(world), _attempt(world)
             world.parts.pools.start(attempt)
-            world.parts.node.client_left(attempt.request)
+            world.parts.node.abandon_request(attempt.request)
             assert (await log.ended()).outcome is it.Outcome.MOOT
             world.parts.pools.pools[1].close_idle()
             await soon(world.hosts[0].closed.get())
@@ -225,7 +225,7 @@
             await soon(world.hosts[leaves].connected.get())
             await soon(world.hosts[leaves].closed.get())
             assert world.hosts[leaves].commands.empty()
-            assert not any(host.failures for host in world.parts.node.module.hosts.values())
+            assert not any(host.failures for host in world.parts.node.decision_module.hosts.values())
 
     run(main())
 
@@ -367,9 +367,9 @@
             raw = socket.socket(fileno=socket.dup(peer.get_extra_info("socket").fileno()))
             raw.send(served())
             raw.close()
-            node._timed_out(attempt)  # no turn of the loop between
-            node._timed_out(attempt)
-            node.attempt_ended(attempt, it.Outcome.OK, b"value")
+            node._time_out(attempt)  # no turn of the loop between
+            node._time_out(attempt)
+            node.end_attempt(attempt, it.Outcome.OK, b"value")
             assert (await log.ended()).outcome is it.Outcome.TIMEOUT
             await soon(world.hosts[0].closed.get())
             assert isinstance(connection, host_connection.HostConnection) and connection.closed
@@ -542,11 +542,11 @@
             for _ in attempts:
                 assert (await log.ended()).outcome is it.Outcome.OK
             silent = _attempt(world)
-            silent.request.words[2] = b"silent"
+            silent.request.arguments[2] = b"silent"
             pools.start(silent)
             while (await soon(world.hosts[0].commands.get()))[2] != b"silent":
                 pass
-            world.parts.node._timed_out(silent)
+            world.parts.node._time_out(silent)
             assert (await log.ended()).outcome is it.Outcome.TIMEOUT
             for _ in attempts:
                 await soon(world.hosts[0].closed.get())
@@ -679,7 +679,11 @@
 def test_a_host_that_is_gone_is_forgotten_once_its_last_attempt_has_ended() -> None:
     async def main() -> None:
         async with World(held := Held()) as world:
-            discovery, pools, module = world.parts.discovery, world.parts.pools, world.parts.node.module
+            discovery, pools, module = (
+                world.parts.discovery,
+                world.parts.pools,
+                world.parts.node.decision_module,
+            )
             client = await world.client()
             client.ask(b"1")
             await soon(world.hosts[0].commands.get())
--- a/tests/test_node_lists_at_scale.py
+++ b/tests/test_node_lists_at_scale.py
@@ -305,7 +305,7 @@
             assert await client.answer() == b"value"
             assert not intake.done() and discovery.seq == 2
             await soon(intake)
-            assert discovery.seq == 3 and world.parts.node.module.listed() == 17_002
+            assert discovery.seq == 3 and world.parts.node.decision_module.listed() == 17_002
 
     run(main())
 
@@ -315,18 +315,18 @@
         async with World(lambda words: served()) as world:
             node, discovery = world.parts.node, world.parts.discovery
             discovery.apply(_list(2, _hosts(300)), cached=True)
-            node.module.settled_at = math.inf  # as after a handover
+            node.decision_module.settled_at = math.inf  # as after a handover
             intake = asyncio.create_task(discovery.take_in(_list(3, _hosts(600))))
-            while not node.module.ready(node.clock.now()):
-                assert not node.ready()
+            while not node.decision_module.ready(node.clock.now()):
+                assert not node.is_ready()
                 await asyncio.sleep(0)
             while discovery.seq != 3:
-                assert not node.ready()
+                assert not node.is_ready()
                 await asyncio.sleep(0)
-            assert node.ready()
+            assert node.is_ready()
             intake = asyncio.create_task(discovery.take_in(_list(4, _hosts(300))))
             while not intake.done():
-                assert node.ready()  # which it was before this list
+                assert node.is_ready()  # which it was before this list
                 await asyncio.sleep(0)
 
     run(main())
@@ -569,7 +569,7 @@
                 next(discovery._steps, None)
         for _ in discovery._steps:
             pass
-        numbers, module = discovery.table.numbers, node.module.hosts
+        numbers, module = discovery.table.numbers, node.decision_module.hosts
         assert set(numbers) == set(model.hosts) and discovery.seq == (len(answers) - 1 if answers else None)
         assert set(numbers.values()) == set(pools.pools) == set(module)
         for name, (state, dial) in model.hosts.items():
--- a/tests/test_node_services.py
+++ b/tests/test_node_services.py
@@ -559,7 +559,7 @@
                 told.set()
 
             node.feed = feed  # type: ignore[method-assign]
-            node._fire(due, 0)
+            node._on_timer(due, 0)
             assert not times
             await soon(told.wait())
             assert times[0] >= due
@@ -571,7 +571,7 @@
     async def main() -> None:
         async with World(lambda words: served()) as world:
             node = world.parts.node
-            handle, failing = node.module.handle, {it.Arrived, it.TimerFired}
+            handle, failing = node.decision_module.handle, {it.Arrived, it.TimerFired}
             timer_again = asyncio.Event()
 
             def broken(now: float, event: it.Event) -> list[it.Action]:
@@ -583,7 +583,7 @@
                     timer_again.set()
                 return actions
 
-            node.module.handle = broken  # type: ignore[method-assign]
+            node.decision_module.handle = broken  # type: ignore[method-assign]
             client = await world.client()
             client.ask(b"1")
             assert str(await client.answer()).startswith("-ERR")
@@ -612,15 +612,15 @@
     async def main() -> None:
         async with World(lambda words: served()) as world:
             node, seen = world.parts.node, list[it.Event]()
-            handle = node.module.handle
+            handle = node.decision_module.handle
 
             def spy(now: float, event: it.Event) -> list[it.Action]:
                 seen.append(event)
                 return handle(now, event)
 
-            node.module.handle = spy  # type: ignore[method-assign]
+            node.decision_module.handle = spy  # type: ignore[method-assign]
             for action in (it.Refuse(99), it.Fail(99), it.Cancel(99, 0), it.Send(99, 1)):
-                node._perform[type(action)](action, node.clock.now())
+                node._action_handlers[type(action)](action, node.clock.now())
             assert [(e.outcome, e.final) for e in seen if isinstance(e, it.AttemptEnded)] == [
                 (it.Outcome.MOOT, True)
             ]
--- a/tests/test_node_size.py
+++ b/tests/test_node_size.py
@@ -11,7 +11,7 @@
 
 from rainturn import interface as it
 from rainturn.node import client_timeouts, host_connection, host_pools
-from rainturn.node.resp import WHOLE, pack
+from rainturn.node.resp import MAX_BUFFERED_BYTES, pack
 from tests.helpers import LIMITS, Drive, of, settings
 from tests.sockets import Client, World, reset, run, served, soon
 
@@ -67,7 +67,9 @@
     return words
 
 
-@pytest.mark.parametrize("length", [0, 1, WHOLE - 1, WHOLE, WHOLE + 1, 300_000, LONG])
+@pytest.mark.parametrize(
+    "length", [0, 1, MAX_BUFFERED_BYTES - 1, MAX_BUFFERED_BYTES, MAX_BUFFERED_BYTES + 1, 300_000, LONG]
+)
 def test_values_of_any_length_pass_both_ways_in_pieces_cut_anywhere(
     length: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
--- a/tests/test_standing_clients.py
+++ b/tests/test_standing_clients.py
@@ -177,13 +177,13 @@
                 _now(client, _read(b"2"))
 
             connection.close_if_idle = close_at_once  # type: ignore[method-assign]
-            taken = world.parts.node.serial
+            taken = world.parts.node.last_request_number
             held.released.set()
             assert await client.answer() == b"value"
             with contextlib.suppress(ConnectionError):
                 assert await soon(client.reader.read()) == b""
             await world.emptied()
-            assert world.hosts[0].commands.empty() and world.parts.node.serial == taken
+            assert world.hosts[0].commands.empty() and world.parts.node.last_request_number == taken
 
     run(main())
 
@@ -306,7 +306,7 @@
             client.ask(b"first")
             assert await client.answer() == b"value"
             turns, turn = list[int](), 0
-            handle, ready = node.module.handle, node.ready
+            handle, ready = node.decision_module.handle, node.is_ready
 
             def count_request(now: float, event: it.Event) -> list[it.Action]:
                 if isinstance(event, it.Arrived):
@@ -317,8 +317,8 @@
                 turns.append(turn)
                 return ready()
 
-            node.module.handle = count_request  # type: ignore[method-assign]
-            node.ready = count_ping  # type: ignore[method-assign]
+            node.decision_module.handle = count_request  # type: ignore[method-assign]
+            node.is_ready = count_ping  # type: ignore[method-assign]
             command = PING if flood == "pings" else _read(b"%d")
             count = 1000
             client.writer.write(
--- a/tests/test_standing_process.py
+++ b/tests/test_standing_process.py
@@ -93,7 +93,7 @@
             for sender in senders:
                 await soon(sender.ended.wait())
             await world.emptied()
-            assert 0 < world.parts.node.serial <= sum(sender.answers for sender in senders)
+            assert 0 < world.parts.node.last_request_number <= sum(sender.answers for sender in senders)
 
     run(main())
 
