--- a/tests/test_audit_system_calls.py
+++ b/tests/test_audit_system_calls.py
@@ -1,4 +1,4 @@
-"""System calls that fail for a moment, at the start, in service, at a reload and at the end."""
+"""System calls that fail temporarily: at the start, in service, at a reload and at shutdown."""
 
 from __future__ import annotations
 
@@ -14,49 +14,49 @@
 from tests.program import config_file, log_line, no_more_descriptors, program, started
 from tests.sockets import WIRE, Client, Discovery, Peer, Totals, World, entry, run, served, soon
 
-FOR_A_MOMENT_S = 0.1
+FAILURE_S = 0.1
 
 
-class ShortOfDescriptors:
-    """A listener whose accept fails for a while."""
+class FailingAccept:
+    """A listener whose accept fails with an error for `FAILURE_S`."""
 
     def __init__(self, real: socket.socket, error: int) -> None:
         self.real, self.error = real, error
-        self.until = asyncio.get_running_loop().time() + FOR_A_MOMENT_S
+        self.until = asyncio.get_running_loop().time() + FAILURE_S
 
     def accept(self) -> Any:
         if asyncio.get_running_loop().time() < self.until:
-            raise OSError(self.error, "for a moment")
+            raise OSError(self.error, "temporary failure")
         return self.real.accept()
 
     def __getattr__(self, name: str) -> Any:
         return getattr(self.real, name)
 
 
-def test_who_waits_to_be_accepted_at_the_end_is_served_though_accept_fails_for_a_moment() -> None:
-    """The machine has accepted these connections and their requests: a reset would lose them."""
+def test_pending_connections_are_served_at_shutdown_though_accept_fails_temporarily() -> None:
+    """The system has already accepted these connections and their requests, and a reset would lose them."""
 
     async def main() -> None:
         for error in (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM):
             async with World(lambda words: served()) as world:
                 listener = world.parts.clients.listener
                 assert listener is not None
-                ending = asyncio.create_task(finish(world.parts, False))
+                shutdown = asyncio.create_task(finish(world.parts, False))
                 await asyncio.sleep(0.45)  # 0.05 s before the listener closes
-                failing = ShortOfDescriptors(listener, error)
+                failing = FailingAccept(listener, error)
                 world.parts.clients.listener = failing  # type: ignore[assignment]
                 clients = [await world.client() for _ in range(5)]
                 for client in clients:
                     client.ask(b"%d" % clients.index(client))
                 for client in clients:
                     assert await client.answer() == b"value", errno.errorcode[error]
-                await ending
+                await shutdown
 
     run(main())
 
 
-def test_a_shortage_of_our_own_is_waited_out_and_blames_no_host(tmp_path: Path) -> None:
-    """The first request holds the one connection; the next one's socket() fails for a moment."""
+def test_a_local_shortage_of_descriptors_delays_a_connect_and_fails_no_request(tmp_path: Path) -> None:
+    """The first request occupies the only connection, and the socket() call of the second fails at first."""
 
     async def main() -> None:
         release = asyncio.Event()
@@ -76,7 +76,7 @@
             await soon(host.commands.get())
             with no_more_descriptors(process):
                 client.ask(b"1")
-                await asyncio.sleep(FOR_A_MOMENT_S)
+                await asyncio.sleep(FAILURE_S)
             assert await client.answer() == b"value"
             release.set()
             assert await held.answer() == b"value"
@@ -86,18 +86,18 @@
     run(main())
 
 
-def test_a_new_configuration_that_cannot_be_read_for_a_moment_is_in_force_soon(tmp_path: Path) -> None:
+def test_a_new_configuration_is_applied_after_a_temporary_failure_to_read_it(tmp_path: Path) -> None:
     async def main() -> None:
         old, new = [await Discovery().start() for _ in range(2)]
         dials = [f"{host}:{port}" for host, port in (old.address, new.address)]
         async with program(tmp_path, discovery=dials[0]) as (process, _):
             await soon(old.calls.get())
             path = tmp_path / "config.json"
-            whole = json.dumps(json.loads(path.read_text()) | {"discovery": dials[1]})
-            path.write_text(whole)
+            changed = json.dumps(json.loads(path.read_text()) | {"discovery": dials[1]})
+            path.write_text(changed)
             with no_more_descriptors(process):
                 process.send_signal(signal.SIGHUP)
-                await asyncio.sleep(FOR_A_MOMENT_S)
+                await asyncio.sleep(FAILURE_S)
             assert await soon(new.calls.get()) == "/discovery/hosts"
         for agent in (old, new):
             agent.server.close()
@@ -105,10 +105,10 @@
     run(main())
 
 
-def test_a_start_waits_out_a_listen_that_fails_for_a_moment(
+def test_a_start_retries_to_listen_after_temporary_failures(
     tmp_path: Path,
 ) -> None:
-    """The process runs with a `socket.create_server` that has no buffers at first."""
+    """The process runs with a `socket.create_server` that at first fails for lack of buffers."""
 
     async def main() -> None:
         site = tmp_path / "sitecustomize.py"
