--- a/rainturn/node/client_connection.py
+++ b/rainturn/node/client_connection.py
@@ -17,7 +17,7 @@
 from rainturn.node.counters import Ending
 from rainturn.node.gateway import Node
 from rainturn.node.requests import Request
-from rainturn.node.resp import Spoilt, command, unread, unsent
+from rainturn.node.resp import ProtocolError, count_unread_bytes, count_unsent_bytes, parse_command
 
 MAX_ERRORS = 8  # invalid commands on one connection; one more closes it
 MAX_PENDING = 32  # unanswered commands per connection; further input stays unread
@@ -103,18 +103,19 @@
                         break
                     self._end_body(body, arrived_at)
                     continue
-                if (parsed := command(data, position)) is None:
+                if (parsed := parse_command(data, position)) is None:
                     incomplete = True
                     break
                 position = parsed.end
                 commands += 1
-                if parsed.body is None:
-                    self._execute(parsed.words, self.arrivals.consume(data_offset + position))
+                if parsed.body_length is None:
+                    self._execute(parsed.arguments, self.arrivals.consume(data_offset + position))
                 else:
                     self._begin_body(
-                        Body(parsed.words, parsed.body), self.arrivals.consume(data_offset + position)
+                        Body(parsed.arguments, parsed.body_length),
+                        self.arrivals.consume(data_offset + position),
                     )
-        except Spoilt as error:
+        except ProtocolError as error:
             self._reject(str(error))
         finally:
             self.parsing = False
@@ -148,38 +149,38 @@
         A command with a short body already counts as valid here if its head is valid.
         """
         self.body = body
-        body.resume = self._update_reading
-        if body.long:
-            self._execute(body.words, arrived_at, body)
+        body.resume_reading = self._update_reading
+        if body.is_streamed:
+            self._execute(body.arguments, arrived_at, body)
         elif not self.has_sent_valid_command:
             with contextlib.suppress(MalformedCommand):
-                self.owner.parser.request([*body.words, b""], self, arrived_at)
+                self.owner.parser.parse_request([*body.arguments, b""], self, arrived_at)
                 self._note_valid_command()
 
     def _read_body(self, body: Body, data: bytes, position: int) -> tuple[int, bool]:
         """Read the available bytes of a body; return the position after them and whether it is complete."""
-        piece = data[position : position + body.left]
+        piece = data[position : position + body.bytes_left]
         if piece:
             body.feed(piece)
         position += len(piece)
         tail = data[position : position + 2]
-        if body.left or len(tail) < 2:
+        if body.bytes_left or len(tail) < 2:
             if tail[:1] not in (b"", b"\r"):
-                raise Spoilt("a length does not fit")
+                raise ProtocolError("a length does not fit")
             return position, False
         if tail != b"\r\n":
-            raise Spoilt("a length does not fit")
+            raise ProtocolError("a length does not fit")
         return position + 2, True
 
     def _end_body(self, body: Body, arrived_at: float) -> None:
         """End a command with a body, whose last byte arrived at `arrived_at` (Unix time in ms)."""
         self.body, request, self.upload_request = None, self.upload_request, None
-        body.end()
-        if not body.long:
-            self._execute([*body.words, b"".join(body.held)], arrived_at)
+        body.finish_receiving()
+        if not body.is_streamed:
+            self._execute([*body.arguments, b"".join(body.pieces)], arrived_at)
         elif request is not None:
-            self.node.body_whole(request, arrived_at + request.time_limit_ms)
-        if body.long and not self.pending:
+            self.node.complete_body(request, arrived_at + request.time_limit_ms)
+        if body.is_streamed and not self.pending:
             self._on_all_answered()
 
     def _update_reading(self) -> None:
@@ -210,8 +211,8 @@
         """Return whether the parser, the body or the open requests can take no more input for now."""
         if self.parse_handle is not None:
             return True
-        if self.body is not None and self.body.long:
-            return not self.body.wants()
+        if self.body is not None and self.body.is_streamed:
+            return not self.body.accepts_more()
         return self._must_await_replies()
 
     def _must_await_replies(self) -> bool:
@@ -238,12 +239,12 @@
         """
         verb = words[0].upper()
         if body is not None:
-            body.over = True  # until a request accepts the body
+            body.is_discarded = True  # until a request accepts the body
         if verb in REQUEST_VERBS:
             self._begin_request(words, arrived_at, body)
         elif verb == b"PING":
             self._note_valid_command()
-            self._reply(b"+PONG\r\n" if self.node.ready() else b"-ERR not ready\r\n")
+            self._reply(b"+PONG\r\n" if self.node.is_ready() else b"-ERR not ready\r\n")
         elif verb in (b"CLIENT", b"SELECT"):
             self._note_valid_command()
             self._reply(b"+OK\r\n")
@@ -252,18 +253,18 @@
 
     def _begin_request(self, words: list[bytes], arrived_at: float, body: Body | None) -> None:
         try:
-            request = self.owner.parser.request(words, self, arrived_at, body)
+            request = self.owner.parser.parse_request(words, self, arrived_at, body)
         except MalformedCommand as error:
             return self._reply_error(str(error))
         self._note_valid_command()
         if not self.owner.has_room(request):
-            self.node.counters.ended(request.arrival.request_class, Ending.DROPPED)
+            self.node.metrics.count_ending(request.arrival.request_class, Ending.DROPPED)
             return self._reply(b"-BUSY\r\n")
         self.timeouts.idle.pop(self, None)
         self.pending.append(request)
         if body is not None:
-            body.over, self.upload_request = False, request
-        self.node.arrived(request)
+            body.is_discarded, self.upload_request = False, request
+        self.node.add_request(request)
 
     def _note_valid_command(self) -> None:
         """Record that the client has sent a valid command."""
@@ -286,7 +287,7 @@
         self.timeouts.awaiting_valid_command.pop(self, None)
         request, self.upload_request = self.upload_request, None
         if request is not None and not request.done:
-            self.node.client_left(request)  # its body was never complete; the error below is its reply
+            self.node.abandon_request(request)  # its body was never complete; the error below is its reply
             if request in self.pending:
                 self.pending.remove(request)
         if self.pending:
@@ -327,7 +328,7 @@
 
     def abort_unless_reading(self) -> None:
         """Abort a connection that is being closed, unless the client is still reading its replies."""
-        unsent_bytes = unsent(self.transport)
+        unsent_bytes = count_unsent_bytes(self.transport)
         if not unsent_bytes or unsent_bytes >= self.unsent_bytes:
             return self.abort()
         self.unsent_bytes = unsent_bytes
@@ -335,7 +336,7 @@
 
     def check_write_progress(self) -> None:
         """Abort the connection if the client has read nothing since the last check; a slow client stays."""
-        unsent_bytes = unsent(self.transport)
+        unsent_bytes = count_unsent_bytes(self.transport)
         if unsent_bytes >= self.unsent_bytes:
             return self.abort()
         self.unsent_bytes = unsent_bytes
@@ -348,7 +349,7 @@
         """
         for entry in list(self.pending):
             if isinstance(entry, Request) and not entry.done and entry.value_source is None:
-                self.node.end_now(entry)
+                self.node.end_request_now(entry)
 
     # Sent replies.
 
@@ -377,7 +378,7 @@
     def pause_writing(self) -> None:
         """Handle a full write buffer: the client leaves replies unread."""
         self.writing_paused = True
-        self.unsent_bytes = unsent(self.transport)
+        self.unsent_bytes = count_unsent_bytes(self.transport)
         self.timeouts.enter(self.timeouts.write_stalled, self)
         self._update_reading()
 
@@ -403,7 +404,7 @@
         Guards against bytes from the client that cross the close. They turn it into a reset, which drops
         the replies that have not left this machine yet.
         """
-        if not unsent(self.transport):
+        if not count_unsent_bytes(self.transport):
             return self.transport.close()
         self.closing = self.reading_ended = True
         self._update_reading()
@@ -421,7 +422,7 @@
 
         It may not while replies are in transit, or while there is unread input that is still to be served.
         """
-        return not (unsent(self.transport) or (self.has_unread_input() and not self.closing))
+        return not (count_unsent_bytes(self.transport) or (self.has_unread_input() and not self.closing))
 
     def has_unread_input(self) -> bool:
         """Return whether bytes of the client, or its end of stream, wait in the socket buffer."""
@@ -448,7 +449,7 @@
 
     def _note_unread(self) -> None:
         """Record bytes that arrive while reading is paused: the time limits of their commands run already."""
-        self.arrivals.note_unread(unread(self.transport), self.node.clock.now())
+        self.arrivals.note_unread(count_unread_bytes(self.transport), self.node.clock.now())
 
     def _cancel_liveness_timer(self) -> None:
         if self.liveness_timer is not None:
@@ -466,7 +467,7 @@
         pending, self.pending = self.pending, deque()
         for entry in pending:
             if isinstance(entry, Request):
-                self.node.client_left(entry)
+                self.node.abandon_request(entry)
 
     def eof_received(self) -> None:
         """Handle the client's end of stream immediately, without waiting for pending writes."""
--- a/rainturn/node/client_replies.py
+++ b/rainturn/node/client_replies.py
@@ -40,7 +40,7 @@
 
         If the reply can only be sent after `until` (Unix time in ms), a failure is sent instead.
         """
-        request.reply_until = until
+        request.refusal_valid_until = until
         self._answer(request, b"-BUSY %d\r\n" % max(1, round(backoff_ms)) if backoff_ms > 0 else b"-BUSY\r\n")
 
     def send_failure(self, request: Request) -> None:
@@ -107,7 +107,7 @@
 
     def _reply_to_send(self, request: Request) -> bytes:
         """Return the reply that is correct now: a refusal sent too late becomes a failure."""
-        late = request.reply_until < math.inf and self.clock.now() > request.reply_until
+        late = request.refusal_valid_until < math.inf and self.clock.now() > request.refusal_valid_until
         return FAILURE_REPLY if late or request.reply is None else request.reply
 
     def _on_replies_written(self) -> None:
--- a/tests/test_node_clients.py
+++ b/tests/test_node_clients.py
@@ -100,7 +100,7 @@
                 client = await world.client()
                 client.send(*words)
                 assert str(await client.answer()).startswith("-ERR"), words
-            assert not world.parts.node.module.customers and not world.counter.commands.qsize()
+            assert not world.parts.node.decision_module.customers and not world.counter.commands.qsize()
             client.send(b"CLIENT", b"SETNAME", b"x")
             client.ask(b"good")
             assert [await client.answer(), await client.answer()] == [b"OK", b"value"]
@@ -299,20 +299,22 @@
         gone = asyncio.Event()
         async with World(_never_answer) as world:
             node = world.parts.node
-            handle = node.module.handle
+            handle = node.decision_module.handle
 
             def spy(now: float, event: it.Event) -> list[it.Action]:
                 if isinstance(event, it.RequestGone):
                     gone.set()
                 return handle(now, event)
 
-            node.module.handle = spy  # type: ignore[method-assign]
+            node.decision_module.handle = spy  # type: ignore[method-assign]
             client = await world.client()
             client.ask(b"1", wait=1000)
             await soon(world.hosts[0].commands.get())
             client.writer.close()
             await soon(gone.wait())
-            assert not node.module.open and not world.parts.clients.connections and not node.unanswered
+            assert (
+                not node.decision_module.open and not world.parts.clients.connections and not node.unanswered
+            )
             await soon(world.hosts[0].closed.get())  # the attempt ends at the deadline with its connection
             assert not node.requests and not node.held_bytes
 
@@ -354,7 +356,7 @@
             while node.requests or world.parts.clients.connections:  # reported one loop iteration later
                 await asyncio.sleep(0.01)
             assert world.hosts[0].commands.empty() and not node.held_bytes and not node.unanswered
-            assert not node.module.open
+            assert not node.decision_module.open
 
     run(main())
 
@@ -380,7 +382,9 @@
             while world.parts.clients.connections:
                 await asyncio.sleep(0.01)
             assert (
-                node.serial == client_connection.MAX_PENDING and not node.module.open and not node.unanswered
+                node.last_request_number == client_connection.MAX_PENDING
+                and not node.decision_module.open
+                and not node.unanswered
             )
 
     run(main())
@@ -451,12 +455,12 @@
             release.set()
             for attempt in held:
                 start(attempt)
-            (customer,) = node.module.customers.values()
+            (customer,) = node.decision_module.customers.values()
             while customer.pending_call is not None or customer.waiting:
                 await asyncio.sleep(0.01)
             while len(node.requests) > (waits_for == "another"):
                 await asyncio.sleep(0.01)
-            assert world.hosts[0].commands.empty() and not node.module.open
+            assert world.hosts[0].commands.empty() and not node.decision_module.open
             total = totals.totals[b"%d" % units_name(customer.key, customer.total_window)]
             # The other request, if there is one, reached a host.
             assert total + customer.unreported == (1 if waits_for == "another" else 0)
@@ -513,7 +517,7 @@
             if wait == "counter":
                 node.counter.call = lambda name, amount, ttl: calls.append(name)  # type: ignore[method-assign]
             if wait == "hosts":
-                numbers = list(node.module.hosts)
+                numbers = list(node.decision_module.hosts)
                 node.feed(it.HostList(it.ListKind.FULL))
             if wait == "unread":  # more than may be open, so that reading is paused
                 for _ in range(client_connection.MAX_PENDING + 4):
@@ -578,7 +582,7 @@
             for _ in range(20):  # time for any written command to arrive
                 await asyncio.sleep(0.002)
             assert sum(host.commands.qsize() for host in world.hosts) == sent_before
-            assert not node.module.open and not node.unanswered
+            assert not node.decision_module.open and not node.unanswered
             departing.sock.close()
 
     run(main())
@@ -591,14 +595,14 @@
             client.ask(b"1", b"pay", body=b"x")
             while not held:
                 await asyncio.sleep(0)
-            world.parts.node.end_now(held[0].request)
+            world.parts.node.end_request_now(held[0].request)
             assert await client.answer() == "-BUSY"
 
     run(main())
 
 
 def test_reply_is_sent_before_the_clients_deadline(monkeypatch: Any) -> None:
-    monkeypatch.setattr(client_commands, "MARGIN_MS", 400.0)
+    monkeypatch.setattr(client_commands, "REPLY_MARGIN_MS", 400.0)
 
     async def main() -> None:
         async with World(_never_answer) as world:
@@ -677,7 +681,7 @@
         async with World(lambda words: served(b"x" * 60_000)) as world:
             client = await _client_that_never_reads(world)
             await soon(blocked.wait())
-            assert world.parts.node.serial < 1000  # the gateway has stopped reading
+            assert world.parts.node.last_request_number < 1000  # the gateway has stopped reading
             for connection in world.parts.clients.connections:
                 unsent_bytes = connection.transport.get_write_buffer_size()
                 assert unsent_bytes <= (1 << 16) + 60_100 * client_connection.MAX_PENDING
--- a/tests/test_node_crowd.py
+++ b/tests/test_node_crowd.py
@@ -209,7 +209,7 @@
             discovery_server.put(json.dumps({"seq": 5, "whole": True, "hosts": hosts}, indent=4).encode())
             world.parts.discovery.seq = None
             world.parts.discovery.start()
-            while world.parts.node.module.listed_count() < 1024:
+            while world.parts.node.decision_module.listed_count() < 1024:
                 await asyncio.sleep(0.01)
             client = await world.client()
             for n in range(30):
@@ -227,7 +227,7 @@
                     "hosts": [host | {"health": "terminated"} for host in hosts[:1000]],
                 }
             )
-            while world.parts.node.module.listed_count() > 24:
+            while world.parts.node.decision_module.listed_count() > 24:
                 await asyncio.sleep(0.01)
             await world.parts.discovery.stop()
             discovery_server.server.close()
