--- a/rainturn/node/list_decoder.py
+++ b/rainturn/node/list_decoder.py
@@ -12,13 +12,13 @@
 from rainturn.node.host_list import fields_or_object
 
 # Some 750 hosts, or 400 where the list is indented: decoded in some 2 ms, without the cost of a thread.
-AT_ONCE_BYTES = 128 << 10
+MAX_INLINE_BYTES = 128 << 10
 # How long the event loop waits for the interpreter while a thread decodes; Python's own 5 ms are too long.
 SWITCH_INTERVAL_S = 0.0002
 
 _lock = threading.Lock()
-_usual_interval_s = sys.getswitchinterval()
-_decoding = 0  # threads that decode
+_default_interval_s = sys.getswitchinterval()
+_decoding_threads = 0  # threads that decode
 
 
 def decode(body: bytes | bytearray) -> Any:
@@ -26,33 +26,33 @@
     return json.loads(body, object_hook=fields_or_object)
 
 
-async def decode_beside(body: bytes | bytearray) -> Any:
+async def decode_async(body: bytes | bytearray) -> Any:
     """Parse the body of an answer without holding the event loop for long.
 
     The parser holds the interpreter lock but for the call of the hook after each object: there the thread
     gives way to the loop. The thread ends with its work.
     """
-    if len(body) <= AT_ONCE_BYTES:
+    if len(body) <= MAX_INLINE_BYTES:
         return decode(body)
     executor = ThreadPoolExecutor(1, "decoder")
-    _decoding_begins()  # before the loop waits for the lock: it would wait as long as the interval is then
+    _begin_decoding()  # before the loop waits for the lock: it would wait as long as the interval is then
     future = executor.submit(decode, body)
-    future.add_done_callback(lambda _: _decoding_ends())
+    future.add_done_callback(lambda _: _end_decoding())
     executor.shutdown(wait=False)
     return await asyncio.wrap_future(future)
 
 
-def _decoding_begins() -> None:
+def _begin_decoding() -> None:
     """Let other threads have the interpreter soon, until the last of the threads that decode has ended."""
-    global _decoding
+    global _decoding_threads
     with _lock:
-        _decoding += 1
+        _decoding_threads += 1
         sys.setswitchinterval(SWITCH_INTERVAL_S)
 
 
-def _decoding_ends() -> None:
-    global _decoding
+def _end_decoding() -> None:
+    global _decoding_threads
     with _lock:
-        _decoding -= 1
-        if not _decoding:
-            sys.setswitchinterval(_usual_interval_s)
+        _decoding_threads -= 1
+        if not _decoding_threads:
+            sys.setswitchinterval(_default_interval_s)
--- a/tests/test_node_hosts.py
+++ b/tests/test_node_hosts.py
@@ -691,7 +691,7 @@
             await soon(world.hosts[0].closed.get())
             assert set(module.hosts) == {2} and set(pools.pools) == {2}
             assert list(discovery.table.numbers) == list(discovery.table.fields) == ["new"]
-            assert list(discovery.table.blocks) == ["7"]
+            assert list(discovery.table.cells) == ["7"]
             client.ask(b"2")
             assert await client.answer() == b"value"
             assert world.hosts[0].connected.qsize() == 2  # a connection of its own
--- a/tests/test_node_lists_at_scale.py
+++ b/tests/test_node_lists_at_scale.py
@@ -19,9 +19,9 @@
 from rainturn.node import list_intake
 from rainturn.node.discovery import Discovery
 from rainturn.node.gateway import Clock, Node
-from rainturn.node.host_list import check, read_update
+from rainturn.node.host_list import parse_host, parse_update
 from rainturn.node.host_pools import HostPools
-from rainturn.node.list_decoder import AT_ONCE_BYTES, decode, decode_beside
+from rainturn.node.list_decoder import MAX_INLINE_BYTES, decode, decode_async
 from rainturn.node.requests import Attempt
 from tests.helpers import settings as module_settings
 from tests.sockets import Discovery as Agent
@@ -176,13 +176,13 @@
 
         def count_check(fields: Any) -> Any:
             self.checked += 1
-            return check(fields)
+            return parse_host(fields)
 
         def count_update(*arguments: Any) -> None:
             self.updated += 1
             update_host(*arguments)
 
-        monkeypatch.setattr(list_intake, "check", count_check)
+        monkeypatch.setattr(list_intake, "parse_host", count_check)
         monkeypatch.setattr(self.pools, "update_host", count_update)
         self.pools.pools = self.walked_pools = Counted(self.pools.pools)
         self.discovery.table.fields = self.walked_fields = Counted(self.discovery.table.fields)
@@ -207,7 +207,7 @@
 ) -> None:
     async def main() -> None:
         watched = Watched(monkeypatch, size)
-        await watched.discovery.take_in(_list(2, _hosts(changes, health="terminating"), False))
+        await watched.discovery.apply_without_blocking(_list(2, _hosts(changes, health="terminating"), False))
         steps = 1 if size == 200 else math.ceil(changes / list_intake.CHANGED_PER_STEP)
         assert len(watched.events) == steps and watched.states() == [DRAINING] * changes
         assert all(event.kind is it.ListKind.DELTA for event in watched.events)
@@ -223,11 +223,11 @@
     async def main() -> None:
         watched = Watched(monkeypatch, size)
         for seq in range(2, 12):
-            await watched.discovery.take_in(_list(seq, [_host(seq * 7, health=health)], False))
+            await watched.discovery.apply_without_blocking(_list(seq, [_host(seq * 7, health=health)], False))
         assert watched.work() == (10, 10, 0, 0) and len(watched.events) == 10
         gone = health == "terminated"
         assert len(watched.pools.pools) == len(watched.discovery.table.numbers) == size - 10 * gone
-        await watched.discovery.take_in(_list(12, [], False))
+        await watched.discovery.apply_without_blocking(_list(12, [], False))
         assert watched.work() == (10, 10, 0, 0) and len(watched.events) == 10
 
     run(main())
@@ -238,11 +238,11 @@
 ) -> None:
     async def main() -> None:
         watched = Watched(monkeypatch, 17_000)
-        await watched.discovery.take_in(_list(2, _hosts(17_000)))
+        await watched.discovery.apply_without_blocking(_list(2, _hosts(17_000)))
         assert watched.work() == (0, 0, 0, 0)
         assert watched.events == [it.HostList(it.ListKind.DELTA, ())] and watched.discovery.seq == 2
         changed = [_host(3, health="terminating"), *_hosts(17_000)[4:], _host(20_000)]
-        await watched.discovery.take_in(_list(3, changed))
+        await watched.discovery.apply_without_blocking(_list(3, changed))
         assert watched.work() == (5, 5, 0, 0)  # one drains, three are not named, one is new
         assert sorted(state.value for state in watched.states()) == [
             "draining",
@@ -259,9 +259,9 @@
 def test_a_list_of_200_hosts_is_one_event_with_all_its_entries(monkeypatch: pytest.MonkeyPatch) -> None:
     async def main() -> None:
         watched = Watched(monkeypatch, 200)
-        await watched.discovery.take_in(_list(2, _hosts(200)[:-1]))
+        await watched.discovery.apply_without_blocking(_list(2, _hosts(200)[:-1]))
         assert [(event.kind, len(event.entries)) for event in watched.events] == [(it.ListKind.FULL, 199)]
-        await watched.discovery.take_in(_list(3, _hosts(200)[-1:], False))
+        await watched.discovery.apply_without_blocking(_list(3, _hosts(200)[-1:], False))
         assert [(event.kind, len(event.entries)) for event in watched.events[1:]] == [(it.ListKind.DELTA, 1)]
 
     run(main())
@@ -270,7 +270,7 @@
 def test_the_first_list_is_one_event_of_whatever_size(monkeypatch: pytest.MonkeyPatch) -> None:
     async def main() -> None:
         watched = Watched(monkeypatch)
-        await watched.discovery.take_in(_list(2, _hosts(17_000)))
+        await watched.discovery.apply_without_blocking(_list(2, _hosts(17_000)))
         assert [(event.kind, len(event.entries)) for event in watched.events] == [(it.ListKind.FULL, 17_000)]
 
     run(main())
@@ -283,7 +283,7 @@
         watched = Watched(monkeypatch, 2000)
         new = [_host(number) for number in range(5000, 5500)]
         drains = [_host(number, health="terminating") for number in range(500)]
-        await watched.discovery.take_in(_list(2, [*new, *_hosts(1800)[500:], *drains]))
+        await watched.discovery.apply_without_blocking(_list(2, [*new, *_hosts(1800)[500:], *drains]))
         assert watched.states() == [GONE] * 200 + [DRAINING] * 500 + [READY] * 500
         assert all(len(event.entries) <= list_intake.CHANGED_PER_STEP for event in watched.events)
 
@@ -298,13 +298,13 @@
             discovery.apply(_list(2, hosts))
             client.ask(b"0")
             assert await client.answer() == b"value"
-            intake = asyncio.create_task(
-                discovery.take_in(_list(3, [*hosts, _host(20_000, health="terminating")]))
+            apply_task = asyncio.create_task(
+                discovery.apply_without_blocking(_list(3, [*hosts, _host(20_000, health="terminating")]))
             )
             client.ask(b"1")
             assert await client.answer() == b"value"
-            assert not intake.done() and discovery.seq == 2
-            await soon(intake)
+            assert not apply_task.done() and discovery.seq == 2
+            await soon(apply_task)
             assert discovery.seq == 3 and world.parts.node.module.listed_count() == 17_002
 
     run(main())
@@ -316,7 +316,7 @@
             node, discovery = world.parts.node, world.parts.discovery
             discovery.apply(_list(2, _hosts(300)), cached=True)
             node.module.ready_after = math.inf  # as after a handover
-            intake = asyncio.create_task(discovery.take_in(_list(3, _hosts(600))))
+            apply_task = asyncio.create_task(discovery.apply_without_blocking(_list(3, _hosts(600))))
             while not node.module.is_ready(node.clock.now()):
                 assert not node.ready()
                 await asyncio.sleep(0)
@@ -324,8 +324,8 @@
                 assert not node.ready()
                 await asyncio.sleep(0)
             assert node.ready()
-            intake = asyncio.create_task(discovery.take_in(_list(4, _hosts(300))))
-            while not intake.done():
+            apply_task = asyncio.create_task(discovery.apply_without_blocking(_list(4, _hosts(300))))
+            while not apply_task.done():
                 assert node.ready()  # which it was before this list
                 await asyncio.sleep(0)
 
@@ -364,13 +364,15 @@
 ) -> None:
     async def main() -> None:
         watched = Watched(monkeypatch, 1000)
-        first = asyncio.create_task(watched.discovery.take_in(_list(2, _hosts(1000, health="terminating"))))
+        first = asyncio.create_task(
+            watched.discovery.apply_without_blocking(_list(2, _hosts(1000, health="terminating")))
+        )
         while not watched.events:
             await asyncio.sleep(0)
-        second = asyncio.create_task(watched.discovery.take_in(_list(3, [_host(5)], False)))
+        second = asyncio.create_task(watched.discovery.apply_without_blocking(_list(3, [_host(5)], False)))
         await soon(asyncio.gather(first, second))
         assert watched.states() == [DRAINING] * 1000 + [READY] and watched.discovery.seq == 3
-        third = asyncio.create_task(watched.discovery.take_in(_list(4, _hosts(1000))))
+        third = asyncio.create_task(watched.discovery.apply_without_blocking(_list(4, _hosts(1000))))
         while len(watched.events) < 45:
             await asyncio.sleep(0)
         watched.discovery.apply(_list(5, [_host(6, health="terminated")], False))
@@ -396,9 +398,9 @@
         monkeypatch.setattr(watched.pools, "update_host", fail)
         drains = _hosts(1000, health="terminating")
         with pytest.raises(RuntimeError):
-            await watched.discovery.take_in(_list(2, drains))
+            await watched.discovery.apply_without_blocking(_list(2, drains))
         assert watched.discovery.seq == 1
-        await watched.discovery.take_in(_list(2, drains))
+        await watched.discovery.apply_without_blocking(_list(2, drains))
         assert watched.discovery.seq == 2 and all(pool.leaving for pool in watched.pools.pools.values())
         assert watched.states()[-1000:] == [DRAINING] * 1000
 
@@ -416,7 +418,7 @@
         hosts[4] |= {"share": math.inf}
         hosts += [_host(5, health="terminating"), _host(size + 1, health="odd"), {"dial": "127.0.0.1:1"}]
         hosts += [_host(size + 2, health="terminated")]
-        await watched.discovery.take_in(_list(2, hosts))
+        await watched.discovery.apply_without_blocking(_list(2, hosts))
         table, pools = watched.discovery.table, watched.pools.pools
         assert set(table.numbers) == {f"host-{n}" for n in range(size)} and watched.discovery.seq == 2
         assert [number for number, pool in pools.items() if pool.leaving] == [table.numbers["host-5"]]
@@ -434,7 +436,7 @@
         same, other = _host(7), _host(7, health="terminating", dial="127.0.0.1:9")
         hosts = [one for one in _hosts(1000) if one["host"] != "host-7"]
         twice = [same, other, same] if known_first else [same, other]
-        await watched.discovery.take_in(_list(2, [*twice, *hosts]))
+        await watched.discovery.apply_without_blocking(_list(2, [*twice, *hosts]))
         pool = watched.pools.pools[watched.discovery.table.numbers["host-7"]]
         assert pool.leaving is not known_first and watched.states() == [DRAINING] * (not known_first)
 
@@ -445,15 +447,15 @@
     async def main() -> None:
         interval = sys.getswitchinterval()
         short, long = (json.dumps(_list(2, _hosts(count))).encode() for count in (200, 2000))
-        assert len(short) < AT_ONCE_BYTES < len(long)
+        assert len(short) < MAX_INLINE_BYTES < len(long)
         before = threading.active_count()
-        assert await decode_beside(short) == decode(short) and threading.active_count() == before
-        answers = await asyncio.gather(decode_beside(long), decode_beside(long))
+        assert await decode_async(short) == decode(short) and threading.active_count() == before
+        answers = await asyncio.gather(decode_async(long), decode_async(long))
         assert list(answers) == [decode(long)] * 2 and sys.getswitchinterval() == interval
         while threading.active_count() > before:
             await asyncio.sleep(0)
         with pytest.raises(ValueError):
-            await decode_beside(long[:-1])
+            await decode_async(long[:-1])
         assert sys.getswitchinterval() == interval
 
     run(main())
@@ -476,7 +478,7 @@
         if bad == "cut":
             answer = answer[:-9]
         elif bad == "over the limit":
-            monkeypatch.setattr(discovery_module, "MAX_BODY", len(answer) - 1)
+            monkeypatch.setattr(discovery_module, "MAX_BODY_BYTES", len(answer) - 1)
         elif bad == "no list":
             answer = b"[%s]" % answer
         agent.put(answer)
@@ -496,7 +498,7 @@
 def test_a_list_of_17000_hosts_fits_the_limit_with_long_names_too() -> None:
     long = _hosts(17_000, dial="[2001:0db8:0000:0000:0000:0000:0000:0001]:6379")
     size = sum(len(json.dumps(host | {"host": f"{host['host']:x<63}"})) + 2 for host in long)
-    assert 3 * size < discovery_module.MAX_BODY
+    assert 3 * size < discovery_module.MAX_BODY_BYTES
 
 
 class Model:
@@ -564,7 +566,7 @@
             if how == "at once":
                 discovery.apply(answer)
                 continue
-            discovery._steps = discovery._apply_in_steps(read_update(answer))
+            discovery._steps = discovery._apply_in_steps(parse_update(answer))
             for _ in range(3 if how == "cut short" else 1000):
                 next(discovery._steps, None)
         for _ in discovery._steps:
@@ -582,6 +584,6 @@
                 False,
             )
         blocks = [str(fields[3]) for fields in discovery.table.fields.values()]
-        assert {name: block.hosts for name, block in discovery.table.blocks.items()} == {
+        assert {name: cell.host_count for name, cell in discovery.table.cells.items()} == {
             name: blocks.count(name) for name in blocks
         }
--- a/tests/test_node_services.py
+++ b/tests/test_node_services.py
@@ -268,7 +268,7 @@
             monkeypatch.setattr(watch.discovery, "run", note)
             for at_once in [False] * 30 + [True]:
                 watch.discovery.start(at_once)
-                await watch.discovery.watch  # type: ignore[misc]
+                await watch.discovery.watch_task  # type: ignore[misc]
             if mode == "push":  # an agent of each gateway's own holds it: no reason to wait
                 assert set(waits) == {0.0}
             else:
@@ -539,9 +539,9 @@
         async with World(lambda words: served(), wire={"discovery": "ask"}) as world:
             node, pools = world.parts.node, world.parts.pools
             fleet = [Discovery(node, pools, ("east",), ("127.0.0.1", 1), seed) for seed in range(40)]
-            first = sorted(discovery._pause(1) for discovery in fleet)
+            first = sorted(discovery._retry_delay_ms(1) for discovery in fleet)
             assert first[0] < 40.0 and 260.0 < first[-1] <= 300.0
-            later = sorted(discovery._pause(9) for discovery in fleet)
+            later = sorted(discovery._retry_delay_ms(9) for discovery in fleet)
             assert 1000.0 <= later[0] < 1150.0 and 1850.0 < later[-1] <= 2000.0
             assert max(late - early for early, late in zip(later, later[1:], strict=False)) < 150.0
 
--- a/tests/test_standing_lists.py
+++ b/tests/test_standing_lists.py
@@ -122,7 +122,7 @@
 def test_an_answer_without_an_end_is_given_up_and_leaves_no_connection(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(discovery_module, "MAX_BODY", 10_000)
+    monkeypatch.setattr(discovery_module, "MAX_BODY_BYTES", 10_000)
 
     async def main() -> None:
         async with _watching(lambda words: served()) as (world, agent):
