--- a/rainturn/node/discovery.py
+++ b/rainturn/node/discovery.py
@@ -1,4 +1,4 @@
-"""The discovery client: asks for the whole host list, then watches for changes, and has both applied."""
+"""The discovery client: fetches the full host list, then long-polls for changes and applies both."""
 
 from __future__ import annotations
 
@@ -21,40 +21,44 @@
 
 log = logging.getLogger(__name__)
 
-# A change counts as told 6 s after discovery had it and could be reached, whatever has failed before. So a
-# silent watch, the pause after it and the next call together take less, and so do two calls and the longest
-# pause: at any size of the fleet.
-WATCH_WAIT_MS = 2000  # how long a watch may wait: bounds how long a silent one goes unnoticed
-# Where lists are pushed, the agent on this machine answers at once, and from its return on all that it has
-# counts as told: its time-out, and the pause between calls, are a small part of the drain grace.
+# A gateway is expected to know a change 6 s after discovery has it and can be reached, whatever failed
+# before. For any number of hosts and gateways, a watch that gets no answer, the delay after it and the next
+# call therefore take less than 6 s together, and so do two calls and the longest delay.
+WATCH_WAIT_MS = 2000  # how long discovery may hold a watch; limits how long a silent watch goes unnoticed
+# In push mode an agent on this machine holds the list and answers at once. After an outage of the agent, a
+# gateway is expected to know everything that the agent has from the moment it is back. The timeout of a call
+# and the delay between calls are therefore a small fraction of the drain grace.
 AGENT_TIMEOUT_GRACE_FRACTION = 0.25
 AGENT_TIMEOUT_MIN_MS = 100.0
 AGENT_TIMEOUT_MAX_MS = 500.0
-# Where they are asked for, one service answers all gateways, each call in its turn, and one that waits too
-# long fails: a gateway whose calls fail waits longer each time, and all of them come back out of step.
+# In ask mode one service answers the calls of all gateways one after another, and a call that waits too long
+# fails. A gateway therefore waits longer after each failure, with jitter so that the gateways don't retry
+# together.
 ANSWER_TIMEOUT_MS = 1500.0
-RETRY_FIRST_MS = 300.0  # longest pause after the first call that failed; doubled up to the limit below
+RETRY_FIRST_MS = 300.0  # longest delay after the first failure; doubles up to RETRY_MAX_MS
 RETRY_MAX_MS = 2000.0
-START_JITTER_MS = (
-    300.0  # a start that knows hosts first asks within this time, as many start at once; but its
-)
-# list may be old, and a host that drained or went meanwhile may get nothing new after 1 s
-RENUMBERED_AFTER_MS = 6000.0  # discovery lags by this at most: older lists for longer are numbered anew
-# Nothing limits the number of hosts; this only ends an answer that would fill the memory. An entry takes some
-# 170 bytes, with long names and IPv6 addresses 250: 17,000 hosts take 2.9 to 4.3 MB, and this is four times
-# the latter, some 67,000 such hosts.
+# A gateway that starts with a cached list makes its first call within this time, at random, because many
+# gateways may start together. The time is short because the cached list may be old: a host that drained or
+# went away in the meantime must get no new requests after 1 s.
+START_JITTER_MS = 300.0
+# Discovery lags by at most this time. If its versions stay older than ours for longer, its numbering has
+# started again.
+RENUMBERED_AFTER_MS = 6000.0
+# The number of hosts has no limit; this only stops an answer that would fill the memory. An entry takes about
+# 170 bytes, or 250 with long names and IPv6 addresses, so 17,000 hosts take 2.9 to 4.3 MB. The limit is four
+# times the larger figure, which is about 67,000 hosts with long entries.
 MAX_BODY_BYTES = 16 << 20
-# A long list is given more time than a time-out, as long as it goes on coming at this rate at least.
+# The timeout of a long answer is extended as long as the answer arrives at this rate or faster.
 MIN_BYTES_PER_MS = 1000
-BYTES_WITHIN_TIMEOUT = 64 << 10  # the part of an answer that has to come within the time-out alone
+BYTES_WITHIN_TIMEOUT = 64 << 10  # the first bytes of an answer, which must arrive within the plain timeout
 
 
 class Refused(Exception):
-    """Discovery answered that it has no list for us now."""
+    """Discovery answered with another status than 200: it has no list for this gateway now."""
 
 
 class _Response:
-    """Collects one answer for the parser."""
+    """Parser callbacks that collect one HTTP response."""
 
     def __init__(self) -> None:
         self.body = bytearray()
@@ -77,14 +81,20 @@
         self.is_complete = True
 
     def connection_ended(self) -> None:
-        """An orderly end of the connection completes a body without a length, and no other."""
+        """Complete a body that has no length; raise a ConnectionError for any other response.
+
+        Called when the connection has been closed without a reset.
+        """
         if not self.has_headers or self.has_length:
             raise ConnectionError("discovery closed the connection")
         self.is_complete = True
 
 
 class Discovery:
-    """One task that asks and watches, and one at a time that applies a large list in steps."""
+    """Keeps the host list up to date.
+
+    One task polls discovery; at most one further task at a time applies a large list in steps.
+    """
 
     def __init__(
         self, node: Node, pools: HostPools, zones: tuple[str, ...], address: tuple[str, int], seed: int
@@ -93,8 +103,8 @@
         self.table = HostTable(zones)
         self.updater = ListUpdater(node, pools, self.table)
         pools.on_forgotten = self.table.forget
-        self.seq: int | None = None  # the version of the list that is in force; None: a whole list is needed
-        self.older_since: float | None = None  # when lists older than ours began to come
+        self.seq: int | None = None  # version of the applied list; None if a full list is needed
+        self.older_since: float | None = None  # when lists older than the applied one began to arrive
         self.is_pushed = not node.settings.asks_for_list
         grace_fraction_ms = AGENT_TIMEOUT_GRACE_FRACTION * node.settings.rules.drain_grace_ms
         self.agent_timeout_ms = min(AGENT_TIMEOUT_MAX_MS, max(AGENT_TIMEOUT_MIN_MS, grace_fraction_ms))
@@ -102,19 +112,22 @@
         self.rng = random.Random(seed)
         self.writer: asyncio.StreamWriter | None = None
         self.watch_task: asyncio.Task[None] | None = None
-        self.move_count = 0  # how often the address was changed: a list of an older one sets no version
-        self._steps: Iterator[None] = iter(())  # what is left of the list that is being applied
+        self.move_count = 0  # address changes; a list from an earlier address doesn't set `seq`
+        self._steps: Iterator[None] = iter(())  # the remaining steps of the list that is being applied
         self._apply_task: asyncio.Task[None] | None = None
 
     def start(self, at_once: bool = True) -> None:
-        """Begin to watch; unless at once, or with an agent, out of step with others, if hosts are known."""
+        """Start polling.
+
+        In ask mode and with a cached list, the first call comes after a random delay unless `at_once` is set.
+        """
         wait_ms = 0.0
         if not (at_once or self.is_pushed or self.seq is None):
             wait_ms = self.rng.random() * START_JITTER_MS
         self.watch_task = self.node.loop.create_task(self.run(wait_ms))
 
     async def stop(self) -> None:
-        """End the watch, and leave a list that is being applied as it is."""
+        """Stop polling; a list that is being applied stays partly applied."""
         for task in (self.watch_task, self._apply_task):
             if task is not None:
                 task.cancel()
@@ -123,10 +136,11 @@
         self._close_connection()
 
     def move(self, address: tuple[str, int]) -> None:
-        """Go on at another address, at once with the whole list: its versions may be numbered anew.
+        """Switch to another discovery address and fetch the full list there at once.
 
-        What the old address has not answered yet is given up with its connection; the hosts stay as told. A
-        list of the old address that has come whole is applied to its end before one of the new address.
+        The new address may number its versions differently. A call that the old address has not answered is
+        dropped together with its connection, and the known hosts stay. A list that has arrived from the old
+        address completely is applied to its end before a list of the new address.
         """
         if self.watch_task is not None:
             self.watch_task.cancel()
@@ -135,34 +149,35 @@
         self.move_count += 1
         self.start()
 
-    # Applying lists.
+    # Application of lists.
 
     def apply(self, answer: Any, cached: bool = False) -> None:
-        """Apply an answer at once, of whatever size; one older than the list in force changes nothing.
+        """Apply an answer of any size without interruption.
 
-        `cached`: it is the list that the gateway last knew, and may be old.
+        `cached` marks the list that the gateway knew last, which may be old. An answer that is malformed or
+        older than the applied list raises a ValueError and isn't applied.
         """
-        for _ in self._steps:  # what is left of the one before
+        for _ in self._steps:  # the remaining steps of the previous list
             pass
         self._apply_at_once(parse_update(answer), cached)
 
     async def apply_without_blocking(self, answer: Any) -> None:
-        """Apply an answer, a large one in steps between which the event loop serves requests."""
+        """Apply an answer; the event loop serves requests between the steps of a large one."""
         if self._apply_task is not None:
             await asyncio.wait([self._apply_task])
         update = parse_update(answer)
-        del answer  # the update's entries are dropped one by one: all of them in one go would take some ms
+        del answer  # so that entries are freed one by one; freeing all of them together takes some ms
         if self.updater.is_small(update):
             return self._apply_at_once(update)
         self._check_version(update)
         self._steps = self._apply_in_steps(update)
         self._apply_task = self.node.loop.create_task(self._run_steps())
-        await asyncio.shield(self._apply_task)  # a move ends the watch, and not what it has been told
+        await asyncio.shield(self._apply_task)  # `move` cancels the polling, but not a received list
 
     def _check_version(self, update: HostListUpdate) -> None:
-        """Raise a ValueError if an update is older than the list in force."""
+        """Raise a ValueError if an update is older than the applied list."""
         if self.seq is not None and update.version < self.seq:
-            # Guards against a late or lagging answer bringing hosts back that have gone since.
+            # Guards against a late or lagging answer that would bring back hosts which are gone by now.
             now = self.node.clock.now()
             self.older_since = self.older_since or now
             if not update.is_full or now - self.older_since < RENUMBERED_AFTER_MS:
@@ -183,7 +198,7 @@
             self.seq = update.version
 
     async def _run_steps(self) -> None:
-        # Guards against counting as ready while a part of the hosts is known.
+        # Guards against a gateway that reports itself ready while it knows only some of the hosts.
         self.node.list_incomplete = not self.node.ready()
         try:
             for _ in self._steps:
@@ -192,14 +207,15 @@
             self.node.list_incomplete = False
             self._apply_task = None
 
-    # Asking for lists.
+    # Requests for lists.
 
     async def run(self, wait_ms: float = 0.0) -> None:
-        """Ask for what is new, then watch; a call that fails is followed by another before long.
+        """Poll discovery for ever, first after `wait_ms`; retry a failed call after a short delay.
 
-        With a list in force, it asks from its version on: changes cost discovery less than whole lists do.
-        After a call that failed, and at an agent's first, a watch follows an answer only: a silent one waits
-        out its time, and what comes meanwhile would be heard too late.
+        Once a list is applied, calls name its version, because changes cost discovery less than full lists.
+        After a failed call, and at the start with an agent, a watch is opened only once a call with a short
+        wait has been answered: a watch that gets no answer lasts its full time, and changes that come
+        meanwhile would be applied too late.
         """
         failures, answered = 0, False
         await asyncio.sleep(wait_ms / 1000)
@@ -214,7 +230,7 @@
                     log.info("discovery: back at version %s", self.seq)
                 failures, answered = 0, True
             except Exception as error:
-                # Guards against anything that discovery may send, or its silence, ending the watch for good.
+                # Guards against an unexpected or missing answer that would end the polling for good.
                 if not failures:
                     log.warning("discovery: %r", error)
                 self._close_connection()
@@ -222,14 +238,17 @@
                 await asyncio.sleep(self._retry_delay_ms(failures) / 1000)
 
     def _retry_delay_ms(self, failures: int) -> float:
-        """How long to wait after a call that failed, in ms, at random: in step all gateways fail in step."""
+        """Return a random delay after a failed call, in ms.
+
+        Without the jitter all gateways would retry together, and their calls would fail together again.
+        """
         if self.is_pushed:
             return self.agent_timeout_ms / 2 * (0.5 + self.rng.random())
         longest_ms = min(RETRY_MAX_MS, RETRY_FIRST_MS * 2.0 ** min(failures - 1, 20))
         return longest_ms * (self.rng.random() if failures == 1 else 0.5 + 0.5 * self.rng.random())
 
     async def _get(self, path: str, timeout_ms: float) -> Any:
-        """The decoded JSON of one answer, or an exception."""
+        """Make one call and return the decoded JSON of its answer, or raise an exception."""
         response = _Response()
         parser = httptools.HttpResponseParser(response)
         started = self.node.loop.time()
@@ -248,7 +267,7 @@
                 if len(response.body) > BYTES_WITHIN_TIMEOUT:
                     extra_ms = (len(response.body) - BYTES_WITHIN_TIMEOUT) / MIN_BYTES_PER_MS
                     timeout.reschedule(started + (timeout_ms + extra_ms) / 1000)
-        # A connection for each call: what comes late or twice is never taken for the next call's answer.
+        # Each call has its own connection, so that a late or repeated answer isn't taken for the next call's.
         self._close_connection()
         if parser.get_status_code() != 200:
             raise Refused(f"status {parser.get_status_code()}")
