--- a/rainturn/node/list_intake.py
+++ b/rainturn/node/list_intake.py
@@ -1,8 +1,8 @@
 """Applies updates of the host list to the pools and to the module: small ones at once, large ones in steps.
 
-A step holds the event loop for some tenths of a millisecond, and requests go on between two steps. The order
-of a large update differs from that of its entries: hosts that drain or are gone come first, since nothing new
-may be sent to them once their grace is over, and hosts that are ready follow.
+A step holds the event loop for some tenths of a millisecond, and requests are served between two steps. A
+large update isn't applied in the order of its entries: hosts that drain or are gone come first, because
+nothing new may be sent to them once their grace is over. Ready hosts follow.
 """
 
 from __future__ import annotations
@@ -31,26 +31,26 @@
 
 Item = TypeVar("Item")
 
-# A request may wait 2.5 ms for a list in 99 of 100 cases, and passes the event loop some four times: when it
-# comes, with the counter's total, with the host's answer, and once more with a second attempt. So one step
-# should take no more than 0.6 ms, also on a core of half the speed of the one on which this was measured.
-COMPARED_PER_STEP = 250  # entries that are only compared with what is stored
-CHECK_COST = 10  # of an entry that differs and is checked, in units of the comparison of an equal one
-CHANGED_PER_STEP = 25  # entries that differ, applied to the pools and the module
-SMALL_FLEET_HOSTS = (
-    256  # hosts: up to so many, an update is applied as one, as are those of one step of changes
-)
+# At the 99th percentile a list may delay a request by 2.5 ms. A request passes through the event loop about
+# four times: when it arrives, with the counter's total, with the host's answer, and once more with a second
+# attempt. One step should therefore take at most 0.6 ms, even on a core of half the usual speed.
+COMPARED_PER_STEP = 250  # entries that are equal to the stored ones and are only compared
+CHECK_COST = 10  # cost of checking an entry that differs, in comparisons of equal entries
+CHANGED_PER_STEP = 25  # entries that differ and are applied to the pools and the module
+# Up to this number of hosts an update is applied at once. In a larger fleet only a delta of at most
+# CHANGED_PER_STEP entries is.
+SMALL_FLEET_HOSTS = 256
 
 
 class Problems:
-    """What is wrong with the entries of one update."""
+    """Counts the entries of one update that are malformed, duplicate or for an unlisted host."""
 
     def __init__(self) -> None:
         self.malformed = self.duplicates = self.unlisted = 0
         self.first_malformed = ""
 
     def add_malformed(self, entry: Any, error: Exception) -> None:
-        """Note an entry that can't be read."""
+        """Record an entry that can't be read."""
         self.malformed += 1
         self.first_malformed = self.first_malformed or f"{get_host_name(entry)}: {error!r}"
 
@@ -69,32 +69,33 @@
 
 @dataclass
 class Comparison:
-    """What an update changes, as far as its entries have been compared with those stored."""
+    """The changes of an update, as far as its entries have been compared with the stored ones."""
 
     is_full: bool
-    is_base_complete: (
-        bool  # whether what is stored has been applied whole, so that equal entries need no work
-    )
-    unseen: dict[str, EntryFields]  # the stored hosts that a whole list has not named yet
+    is_base_complete: bool  # whether the stored list was applied to its end: then equal entries are skipped
+    unseen: dict[str, EntryFields]  # the stored hosts that haven't appeared in the full list so far
     changed: dict[str, ListedHost] = field(default_factory=dict)
     problems: Problems = field(default_factory=Problems)
 
 
 class ListUpdater:
-    """Applies updates, one after the other."""
+    """Applies updates of the host list one after another."""
 
     def __init__(self, node: Node, pools: HostPools, table: HostTable) -> None:
         self.node, self.pools, self.table = node, pools, table
-        self.is_complete = True  # False while an update is applied, and after one that failed in the middle
+        self.is_complete = True  # False while an update is applied, and after one that failed midway
 
     def is_small(self, update: HostListUpdate) -> bool:
-        """Whether an update is applied at once; the first one is too: without hosts nothing is served."""
+        """Return whether an update is applied at once.
+
+        The first update is applied at once whatever its size, because a gateway without hosts serves nothing.
+        """
         stored_count = len(self.table.fields)
         limit = SMALL_FLEET_HOSTS if stored_count <= SMALL_FLEET_HOSTS else CHANGED_PER_STEP
         return not stored_count or max(len(update.hosts), stored_count if update.is_full else 0) <= limit
 
     def apply(self, update: HostListUpdate, kind: it.ListKind) -> bool:
-        """Apply an update at once, as one event for the module; return whether all entries could be read."""
+        """Apply an update at once, as one event for the module; return whether no entry was malformed."""
         self.is_complete = False
         problems = Problems()
         hosts = self._read_all(update, problems)
@@ -112,7 +113,7 @@
         return not problems.malformed
 
     def _read_all(self, update: HostListUpdate, problems: Problems) -> dict[str, ListedHost]:
-        """The hosts of an update by name; one whose entry is malformed stays as it is stored."""
+        """Return the hosts of an update by name; a host with a malformed entry keeps its stored one."""
         hosts: dict[str, ListedHost] = {}
         while update.hosts:
             entry = update.hosts.popleft()
@@ -130,10 +131,11 @@
         return hosts
 
     def apply_in_steps(self, update: HostListUpdate) -> Iterator[None]:
-        """Apply an update in steps, a run of changes for the module; other work may run at each `yield`.
+        """Apply an update in steps, as delta events for the module; other work may run at each `yield`.
 
-        Nothing is applied before all entries are compared, and the run has to be ended before another update
-        is applied: so no two lists are mixed, other than that the hosts that leave do so first.
+        No change is applied before all entries are compared, and the caller must exhaust the iterator before
+        it applies another update. The module therefore never sees a mix of two lists, except that the hosts
+        that leave are applied before the others.
         """
         comparison = Comparison(
             update.is_full, self.is_complete, dict(self.table.fields) if update.is_full else {}
@@ -159,7 +161,7 @@
             self._apply_changes(hosts)
             yield
         if not (gone or comparison.changed):
-            self._feed(it.ListKind.DELTA, [])  # the module counts a list without changes as heard, too
+            self._feed(it.ListKind.DELTA, [])  # a list without changes also counts as received for the module
         comparison.problems.log(update.version)
         self.is_complete = True
 
@@ -187,7 +189,7 @@
         return CHECK_COST
 
     def _apply_changes(self, hosts: list[ListedHost]) -> None:
-        """Apply some changes to the pools and, as one event, to the module."""
+        """Apply changes to the pools and, as one event, to the module."""
         entries = []
         for host in hosts:
             entry = self._store(host)
@@ -201,20 +203,20 @@
         return entry
 
     def _as_gone(self, name: str) -> ListedHost:
-        """A stored host that a whole list does not name."""
+        """Return a stored host as gone, because a full list doesn't contain it."""
         return parse_host(as_gone(self.table.fields[name]))
 
     def _feed(self, kind: it.ListKind, entries: list[it.HostEntry]) -> None:
-        """Give the module news of the list, and then what it has to decide anew because of them."""
+        """Send the module a list event, and then return the attempts that wait for hosts that leave."""
         self.node.feed(it.HostList(kind, tuple(entries)))
         self.pools.return_waiting()
 
     def _is_unlisted(self, host: ListedHost) -> bool:
-        """Whether a host is said to be gone that was never listed, or is forgotten."""
+        """Return whether an entry reports a host as gone that was never listed or has been forgotten."""
         return host.state is it.HostState.GONE and host.name not in self.table.fields
 
 
 def _batches(items: list[Item]) -> Iterator[list[Item]]:
-    """Split a list into parts of one step each."""
+    """Split a list into batches of one step each."""
     for start in range(0, len(items), CHANGED_PER_STEP):
         yield items[start : start + CHANGED_PER_STEP]
