--- a/rainturn/node/host_list.py
+++ b/rainturn/node/host_list.py
@@ -1,4 +1,4 @@
-"""The form of a host list: discovery's answers as typed records, and the check of each entry."""
+"""Types of the host list, and the parsing and validation of discovery's answers."""
 
 from __future__ import annotations
 
@@ -17,19 +17,21 @@
     "terminated": it.HostState.GONE,
 }
 GONE_HEALTH = "terminated"
-# What is raised for an entry whose fields are missing, of a wrong type or out of range.
+# The exceptions raised for an entry with fields that are missing, of a wrong type or out of range.
 MALFORMED_ENTRY_ERRORS = (ArithmeticError, AttributeError, KeyError, TypeError, ValueError)
 
-
-# The fields of an entry, not checked: host, dial, site, block, health, share, born_ms. A plain tuple, as the
-# garbage collector stops visiting one of texts and numbers only, and would visit any other record.
+# The unchecked fields of an entry: host, dial, site, block, health, share, born_ms. This is a plain tuple
+# because the garbage collector stops tracking tuples of strings and numbers, but tracks other record types.
 EntryFields = tuple[str, str, str, int | str, str, float, float]
 
 _get_all_fields = itemgetter("host", "dial", "site", "block", "health", "share", "born_ms")
 
 
 class ListedHost(NamedTuple):
-    """One host of a list, checked; `started` is Unix time in ms, `order` the same at all gateways."""
+    """One valid host of a list.
+
+    `started` is Unix time in ms. `order` is a hash of the name, the same at all gateways.
+    """
 
     fields: EntryFields
     name: str
@@ -43,9 +45,10 @@
 
 
 class HostListUpdate(NamedTuple):
-    """An answer of discovery: the whole list, or only the hosts that changed up to `version`.
+    """An answer of discovery: the full list, or only the hosts that changed up to `version`.
 
-    `hosts` holds the `EntryFields` of each entry, or what stands in its place; it is emptied as it is read.
+    `hosts` holds the `EntryFields` of each complete entry, and any other entry as decoded from JSON. It is
+    emptied while it is read.
     """
 
     version: int
@@ -54,7 +57,7 @@
 
 
 def parse_address(text: str) -> tuple[str, int]:
-    """Split `host:port`."""
+    """Split `host:port`; raise a ValueError if the text has another form or the port is out of range."""
     host, _, port = text.rpartition(":")
     if not host or not port.isdigit() or not 0 <= int(port) < 65536:
         raise ValueError(f"not an address: {text!r}")
@@ -62,7 +65,10 @@
 
 
 def get_fields(entry: Any) -> EntryFields:
-    """The fields of an entry as JSON has it; raises one of `MALFORMED_ENTRY_ERRORS` where one is missing."""
+    """Return the fields of a decoded entry, with defaults for block, share and born_ms.
+
+    Raises one of `MALFORMED_ENTRY_ERRORS` if another field is missing.
+    """
     if type(entry) is tuple:
         return entry
     try:
@@ -80,7 +86,7 @@
 
 
 def fields_or_object(entry: dict[str, Any]) -> Any:
-    """The fields of an object that is a complete entry, or the object itself."""
+    """Return the fields of a JSON object that is a complete entry, or else the object itself."""
     try:
         return _get_all_fields(entry)
     except KeyError:
@@ -88,17 +94,17 @@
 
 
 def as_gone(fields: EntryFields) -> EntryFields:
-    """The fields of a host that has gone since."""
+    """Return the same fields with the health of a host that is gone."""
     host, dial, site, block, _, share, born_ms = fields
     return host, dial, site, block, GONE_HEALTH, share, born_ms
 
 
 def parse_host(fields: EntryFields) -> ListedHost:
-    """Check the fields of an entry, or raise one of `MALFORMED_ENTRY_ERRORS`."""
+    """Check and convert the fields of an entry; raise one of `MALFORMED_ENTRY_ERRORS` if they are invalid."""
     host, dial, site, block, health, share, born_ms = fields
     name, size, started = str(host), float(share), float(born_ms)
     if not (math.isfinite(size) and math.isfinite(started)):
-        raise ValueError("not a number")
+        raise ValueError("share and born_ms must be finite numbers")
     site, health = _intern(site), _intern(health)
     state, address, order = STATE_BY_HEALTH[health], parse_address(dial), zlib.crc32(name.encode())
     hash(site)
@@ -107,19 +113,19 @@
 
 
 def _intern(text: str) -> str:
-    """The one copy of a text that many entries have."""
+    """Return one shared copy of a text that many entries contain, to save memory."""
     return sys.intern(text) if type(text) is str else text
 
 
 def get_host_name(entry: Any) -> str | None:
-    """The name of the host that an entry is about, also where nothing else of it can be read."""
+    """Return the host name of an entry, even if its other fields can't be read, or None if it has none."""
     if type(entry) is tuple:
         return str(entry[0])
     return str(entry["host"]) if isinstance(entry, dict) and "host" in entry else None
 
 
 def parse_update(answer: Any) -> HostListUpdate:
-    """Take a decoded answer for an update of the host list, or raise a ValueError."""
+    """Convert a decoded answer of discovery to an update; raise a ValueError if it isn't a host list."""
     if (
         not isinstance(answer, dict)
         or not isinstance(answer.get("hosts"), list)
