--- a/rainturn/node/host_table.py
+++ b/rainturn/node/host_table.py
@@ -1,4 +1,4 @@
-"""Stores the listed hosts: their last entries, and the numbers of hosts, zones and cells for the module."""
+"""Stores the last entries of the listed hosts, and the module's numbers for hosts, zones and cells."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 
 class Cell:
-    """A block of hosts: the module's number for it, and how many listed hosts stand in it."""
+    """A cell of hosts: its number for the module, and how many listed hosts it has."""
 
     __slots__ = ("number", "host_count")
 
@@ -16,20 +16,20 @@
 
 
 class HostTable:
-    """The hosts of the list, and those that are gone and still have open connections.
+    """The hosts of the list, and the hosts that are gone but still have open connections.
 
-    A host's number is not given to another host, and a block's number to no other block.
+    The numbers of hosts and cells are never used again for another host or cell.
     """
 
     def __init__(self, zones: tuple[str, ...]) -> None:
         self.zones = {name: number for number, name in enumerate(zones)}
-        self.numbers: dict[str, int] = {}  # of hosts, by name
-        self.fields: dict[str, EntryFields] = {}  # of each host's last entry, by name
+        self.numbers: dict[str, int] = {}  # host numbers by host name
+        self.fields: dict[str, EntryFields] = {}  # the last entry by host name
         self.cells: dict[str, Cell] = {}
         self.last_host_number = self.last_cell_number = 0
 
     def store(self, host: ListedHost) -> it.HostEntry:
-        """Hold a host as it is listed now, and return its entry for the module."""
+        """Store a host as it is listed now, and return its entry for the module."""
         name = host.name
         if name not in self.numbers:
             self.last_host_number += 1
@@ -42,7 +42,7 @@
         )
 
     def _assign_cell(self, stored: EntryFields | None, name: str) -> Cell:
-        """Count a host in its block, and no more in the one where it was stored before."""
+        """Count a host in the cell `name` instead of the cell of its stored entry; return the cell."""
         if stored is not None and _cell_of(stored) == name:
             return self.cells[name]
         if name not in self.cells:
@@ -59,12 +59,12 @@
             del self.cells[name]
 
     def is_listed(self, name: str) -> bool:
-        """Whether a host is stored, and not as one that is gone."""
+        """Return whether a host is stored and isn't gone."""
         stored = self.fields.get(name)
         return stored is not None and _health_of(stored) != GONE_HEALTH
 
     def forget(self, name: str) -> None:
-        """Drop a host that is gone and has no connection left, and its block if it was the last one there."""
+        """Remove a host that is gone and has no connection left, and its cell if that is empty then."""
         if (stored := self.fields.pop(name, None)) is not None:
             del self.numbers[name]
             self._leave_cell(_cell_of(stored))
