--- a/rainturn/node/list_decoder.py
+++ b/rainturn/node/list_decoder.py
@@ -1,4 +1,4 @@
-"""Decodes the JSON of discovery's answers: short ones at once, long ones beside the event loop."""
+"""Decodes the JSON of discovery's answers: short ones in the event loop, long ones in a thread."""
 
 from __future__ import annotations
 
@@ -11,31 +11,35 @@
 
 from rainturn.node.host_list import fields_or_object
 
-# Some 750 hosts, or 400 where the list is indented: decoded in some 2 ms, without the cost of a thread.
+# About 750 hosts, or 400 in an indented list. Decoding them takes about 2 ms and isn't worth a thread.
 MAX_INLINE_BYTES = 128 << 10
-# How long the event loop waits for the interpreter while a thread decodes; Python's own 5 ms are too long.
+# How long the event loop waits for the interpreter lock while a thread decodes. Python's default of 5 ms
+# would delay requests too much.
 SWITCH_INTERVAL_S = 0.0002
 
 _lock = threading.Lock()
 _default_interval_s = sys.getswitchinterval()
-_decoding_threads = 0  # threads that decode
+_decoding_threads = 0  # number of threads that are decoding
 
 
 def decode(body: bytes | bytearray) -> Any:
-    """Parse the body of an answer; complete entries become `Fields` at once, as these take less memory."""
+    """Decode the body of an answer; complete entries become `EntryFields`, which take less memory than dicts.
+
+    Raises a ValueError if the body isn't valid JSON.
+    """
     return json.loads(body, object_hook=fields_or_object)
 
 
 async def decode_async(body: bytes | bytearray) -> Any:
-    """Parse the body of an answer without holding the event loop for long.
+    """Decode the body of an answer without blocking the event loop for long.
 
-    The parser holds the interpreter lock but for the call of the hook after each object: there the thread
-    gives way to the loop. The thread ends with its work.
+    The parser holds the interpreter lock except while it calls the hook after each object, where the thread
+    can release the lock to the event loop. The thread ends when the body is decoded.
     """
     if len(body) <= MAX_INLINE_BYTES:
         return decode(body)
     executor = ThreadPoolExecutor(1, "decoder")
-    _begin_decoding()  # before the loop waits for the lock: it would wait as long as the interval is then
+    _begin_decoding()  # first, because a wait for the lock lasts the interval set at its start
     future = executor.submit(decode, body)
     future.add_done_callback(lambda _: _end_decoding())
     executor.shutdown(wait=False)
@@ -43,7 +47,7 @@
 
 
 def _begin_decoding() -> None:
-    """Let other threads have the interpreter soon, until the last of the threads that decode has ended."""
+    """Shorten the thread switch interval until the last decoding thread has ended."""
     global _decoding_threads
     with _lock:
         _decoding_threads += 1
