--- a/tests/test_node_lists_at_scale.py
+++ b/tests/test_node_lists_at_scale.py
@@ -1,4 +1,4 @@
-"""The path of a host list at 17,000 hosts: operations are counted, never timed."""
+"""Host lists of up to 17,000 hosts; the tests count operations and never measure time."""
 
 from __future__ import annotations
 
@@ -32,10 +32,10 @@
 READY, DRAINING, GONE = it.HostState.READY, it.HostState.DRAINING, it.HostState.GONE
 
 
-class Counted(dict[Any, Any]):
-    """A dict that counts how many of its entries are visited one after the other."""
+class CountingDict(dict[Any, Any]):
+    """A dict that counts the entries over which callers iterate."""
 
-    visited = 0
+    visit_count = 0
 
     def __iter__(self) -> Iterator[Any]:
         return self._count(super().__iter__())
@@ -47,9 +47,9 @@
         return self._count(super().items())
 
     def _count(self, entries: Any) -> Iterator[Any]:
-        for one in entries:
-            self.visited += 1
-            yield one
+        for item in entries:
+            self.visit_count += 1
+            yield item
 
 
 def _attempt_at(world: World, host: int) -> Attempt:
@@ -59,7 +59,7 @@
 
 
 def _many_pools(world: World, count: int) -> HostPools:
-    """The pools of a world with one host, all of `count` hosts at its address."""
+    """Return the pools of a world with one host, extended to `count` hosts at the same address."""
     pools, address = world.parts.pools, world.parts.pools.pools[1].address
     for number in range(2, count + 1):
         pools.add(number, f"host-{number}")
@@ -68,15 +68,17 @@
 
 
 @pytest.mark.parametrize("size", SIZES)
-def test_what_waits_for_hosts_that_leave_is_returned_without_a_walk_over_all_pools(size: int) -> None:
+def test_attempts_that_wait_for_leaving_hosts_are_returned_without_iterating_over_all_pools(
+    size: int,
+) -> None:
     async def main() -> None:
         async with World(lambda words: None) as world:
             log, pools = Log(world), _many_pools(world, size)
             address = pools.pools[1].address
-            pools.pools = counted = Counted(pools.pools)
+            pools.pools = counting_pools = CountingDict(pools.pools)
             leaving = [size, size - 3]
             for number in leaving:
-                pools.start(_attempt_at(world, number))  # its connect is under way
+                pools.start(_attempt_at(world, number))  # its connection is being opened
                 pools.update_host(number, address, it.HostState.DRAINING, 0.0)
             pools.update_host(7, address, it.HostState.GONE, 0.0)
             pools.return_waiting()
@@ -85,17 +87,19 @@
                 (size - 3, it.Outcome.MOOT),
                 (size, it.Outcome.MOOT),
             ]
-            assert not counted.visited and not pools.to_return
+            assert not counting_pools.visit_count and not pools.to_return
 
     run(main())
 
 
 @pytest.mark.parametrize("size", SIZES)
-def test_room_is_made_by_the_oldest_idle_connection_of_all_pools_without_a_walk_over_them(size: int) -> None:
+def test_the_oldest_idle_connection_makes_room_for_a_new_one_without_iterating_over_all_pools(
+    size: int,
+) -> None:
     async def main() -> None:
         async with World(lambda words: served()) as world:
             log, pools = Log(world), _many_pools(world, size)
-            pools.pools = counted = Counted(pools.pools)
+            pools.pools = counting_pools = CountingDict(pools.pools)
             used = [size, 5, size - 1, 9]
             for number in used:
                 pools.start(_attempt_at(world, number))
@@ -107,15 +111,15 @@
                 pools.start(_attempt_at(world, number))
                 assert not pools.pools[closed].connections
                 assert (await log.ended()).outcome is it.Outcome.OK
-            assert not counted.visited
+            assert not counting_pools.visit_count
             pools.close_idle()
-            assert not counted.visited and not pools.open and not pools.idle
+            assert not counting_pools.visit_count and not pools.open and not pools.idle
 
     run(main())
 
 
 @pytest.mark.parametrize("size", SIZES)
-def test_a_host_without_an_attempt_costs_its_pool_no_container(size: int) -> None:
+def test_a_pool_allocates_no_containers_before_its_first_attempt(size: int) -> None:
     async def main() -> None:
         async with World(lambda words: served()) as world:
             log, pools = Log(world), _many_pools(world, size)
@@ -123,15 +127,15 @@
             assert (await log.ended()).outcome is it.Outcome.OK
             used = [number for number, pool in pools.pools.items() if isinstance(pool.connections, set)]
             assert used == [7]
-            pools.update_host(7, ("127.0.0.1", 2), it.HostState.READY, 1.0)  # closes what is idle
+            pools.update_host(7, ("127.0.0.1", 2), it.HostState.READY, 1.0)  # closes the idle connections
             assert not pools.idle and not pools.open
             await soon(world.hosts[0].closed.get())
 
     run(main())
 
 
-def test_an_attempt_at_a_host_that_leaves_is_returned_with_the_next_list() -> None:
-    """As it was sent in the same turn, before the module had heard of the list."""
+def test_an_attempt_to_a_leaving_host_is_returned_with_the_next_list() -> None:
+    """The module sent it in the same turn of the event loop, before it received the list."""
 
     async def main() -> None:
         async with World(lambda words: served()) as world:
@@ -159,138 +163,143 @@
     return {"seq": seq, "whole": whole, "hosts": hosts}
 
 
-class Watched:
-    """A discovery client whose module only notes its events, and whose work on hosts is counted."""
+class DiscoveryHarness:
+    """A discovery client with recorded list events and counted operations on hosts."""
 
-    def __init__(self, monkeypatch: pytest.MonkeyPatch, held: int = 0) -> None:
+    def __init__(self, monkeypatch: pytest.MonkeyPatch, known: int = 0) -> None:
         self.node = Node(module_settings(), 7, Clock(), asyncio.get_running_loop())
         self.events: list[it.HostList] = []
         self.node.feed = self._feed  # type: ignore[method-assign]
         self.pools = HostPools(self.node, 30_000.0, 100)
         self.discovery = Discovery(self.node, self.pools, ("east", "west"), ("127.0.0.1", 1), 7)
-        if held:
-            self.discovery.apply(_list(1, _hosts(held)))
+        if known:
+            self.discovery.apply(_list(1, _hosts(known)))
             self.events.clear()
-        self.checked = self.updated = 0
+        self.check_count = self.update_count = 0
         update_host = self.pools.update_host
 
         def count_check(fields: Any) -> Any:
-            self.checked += 1
+            self.check_count += 1
             return parse_host(fields)
 
         def count_update(*arguments: Any) -> None:
-            self.updated += 1
+            self.update_count += 1
             update_host(*arguments)
 
         monkeypatch.setattr(list_intake, "parse_host", count_check)
         monkeypatch.setattr(self.pools, "update_host", count_update)
-        self.pools.pools = self.walked_pools = Counted(self.pools.pools)
-        self.discovery.table.fields = self.walked_fields = Counted(self.discovery.table.fields)
+        self.pools.pools = self.counting_pools = CountingDict(self.pools.pools)
+        self.discovery.table.fields = self.counting_fields = CountingDict(self.discovery.table.fields)
 
     def _feed(self, event: it.Event) -> None:
         assert isinstance(event, it.HostList)
         self.events.append(event)
 
-    def work(self) -> tuple[int, int, int, int]:
-        """Entries checked, pools updated, pools and held entries walked over."""
-        return self.checked, self.updated, self.walked_pools.visited, self.walked_fields.visited
+    def operation_counts(self) -> tuple[int, int, int, int]:
+        """Return how many entries were checked, pools updated, and pools and entries iterated over."""
+        return (
+            self.check_count,
+            self.update_count,
+            self.counting_pools.visit_count,
+            self.counting_fields.visit_count,
+        )
 
     def states(self) -> list[it.HostState]:
-        """The states of the hosts in the events, in their order."""
+        """Return the states of the hosts in all events, in order."""
         return [host.state for event in self.events for host in event.entries]
 
 
 @pytest.mark.parametrize("changes", [2, list_intake.CHANGED_PER_STEP, list_intake.CHANGED_PER_STEP + 1, 200])
 @pytest.mark.parametrize("size", SIZES)
-def test_changes_of_a_large_fleet_are_one_event_up_to_the_size_of_a_step(
+def test_changes_are_one_event_in_a_small_fleet_and_one_event_per_step_in_a_large_one(
     size: int, changes: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async def main() -> None:
-        watched = Watched(monkeypatch, size)
-        await watched.discovery.apply_without_blocking(_list(2, _hosts(changes, health="terminating"), False))
+        harness = DiscoveryHarness(monkeypatch, size)
+        await harness.discovery.apply_without_blocking(_list(2, _hosts(changes, health="terminating"), False))
         steps = 1 if size == 200 else math.ceil(changes / list_intake.CHANGED_PER_STEP)
-        assert len(watched.events) == steps and watched.states() == [DRAINING] * changes
-        assert all(event.kind is it.ListKind.DELTA for event in watched.events)
+        assert len(harness.events) == steps and harness.states() == [DRAINING] * changes
+        assert all(event.kind is it.ListKind.DELTA for event in harness.events)
 
     run(main())
 
 
 @pytest.mark.parametrize("size", SIZES)
 @pytest.mark.parametrize("health", ["terminating", "terminated", "in_service"])
-def test_a_change_of_one_host_does_the_same_work_at_any_size(
+def test_a_change_of_one_host_costs_the_same_at_any_fleet_size(
     size: int, health: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async def main() -> None:
-        watched = Watched(monkeypatch, size)
+        harness = DiscoveryHarness(monkeypatch, size)
         for seq in range(2, 12):
-            await watched.discovery.apply_without_blocking(_list(seq, [_host(seq * 7, health=health)], False))
-        assert watched.work() == (10, 10, 0, 0) and len(watched.events) == 10
+            await harness.discovery.apply_without_blocking(_list(seq, [_host(seq * 7, health=health)], False))
+        assert harness.operation_counts() == (10, 10, 0, 0) and len(harness.events) == 10
         gone = health == "terminated"
-        assert len(watched.pools.pools) == len(watched.discovery.table.numbers) == size - 10 * gone
-        await watched.discovery.apply_without_blocking(_list(12, [], False))
-        assert watched.work() == (10, 10, 0, 0) and len(watched.events) == 10
+        assert len(harness.pools.pools) == len(harness.discovery.table.numbers) == size - 10 * gone
+        await harness.discovery.apply_without_blocking(_list(12, [], False))
+        assert harness.operation_counts() == (10, 10, 0, 0) and len(harness.events) == 10
 
     run(main())
 
 
-def test_a_whole_list_without_changes_builds_no_entry_and_is_told_as_heard(
+def test_a_full_list_without_changes_checks_no_entry_and_sends_one_empty_event(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     async def main() -> None:
-        watched = Watched(monkeypatch, 17_000)
-        await watched.discovery.apply_without_blocking(_list(2, _hosts(17_000)))
-        assert watched.work() == (0, 0, 0, 0)
-        assert watched.events == [it.HostList(it.ListKind.DELTA, ())] and watched.discovery.seq == 2
+        harness = DiscoveryHarness(monkeypatch, 17_000)
+        await harness.discovery.apply_without_blocking(_list(2, _hosts(17_000)))
+        assert harness.operation_counts() == (0, 0, 0, 0)
+        assert harness.events == [it.HostList(it.ListKind.DELTA, ())] and harness.discovery.seq == 2
         changed = [_host(3, health="terminating"), *_hosts(17_000)[4:], _host(20_000)]
-        await watched.discovery.apply_without_blocking(_list(3, changed))
-        assert watched.work() == (5, 5, 0, 0)  # one drains, three are not named, one is new
-        assert sorted(state.value for state in watched.states()) == [
+        await harness.discovery.apply_without_blocking(_list(3, changed))
+        assert harness.operation_counts() == (5, 5, 0, 0)  # one drains, three are missing, one is new
+        assert sorted(state.value for state in harness.states()) == [
             "draining",
             "gone",
             "gone",
             "gone",
             "ready",
         ]
-        assert len(watched.pools.pools) == 16_998
+        assert len(harness.pools.pools) == 16_998
 
     run(main())
 
 
 def test_a_list_of_200_hosts_is_one_event_with_all_its_entries(monkeypatch: pytest.MonkeyPatch) -> None:
     async def main() -> None:
-        watched = Watched(monkeypatch, 200)
-        await watched.discovery.apply_without_blocking(_list(2, _hosts(200)[:-1]))
-        assert [(event.kind, len(event.entries)) for event in watched.events] == [(it.ListKind.FULL, 199)]
-        await watched.discovery.apply_without_blocking(_list(3, _hosts(200)[-1:], False))
-        assert [(event.kind, len(event.entries)) for event in watched.events[1:]] == [(it.ListKind.DELTA, 1)]
+        harness = DiscoveryHarness(monkeypatch, 200)
+        await harness.discovery.apply_without_blocking(_list(2, _hosts(200)[:-1]))
+        assert [(event.kind, len(event.entries)) for event in harness.events] == [(it.ListKind.FULL, 199)]
+        await harness.discovery.apply_without_blocking(_list(3, _hosts(200)[-1:], False))
+        assert [(event.kind, len(event.entries)) for event in harness.events[1:]] == [(it.ListKind.DELTA, 1)]
 
     run(main())
 
 
-def test_the_first_list_is_one_event_of_whatever_size(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_the_first_list_is_one_event_at_any_size(monkeypatch: pytest.MonkeyPatch) -> None:
     async def main() -> None:
-        watched = Watched(monkeypatch)
-        await watched.discovery.apply_without_blocking(_list(2, _hosts(17_000)))
-        assert [(event.kind, len(event.entries)) for event in watched.events] == [(it.ListKind.FULL, 17_000)]
+        harness = DiscoveryHarness(monkeypatch)
+        await harness.discovery.apply_without_blocking(_list(2, _hosts(17_000)))
+        assert [(event.kind, len(event.entries)) for event in harness.events] == [(it.ListKind.FULL, 17_000)]
 
     run(main())
 
 
-def test_hosts_that_leave_are_told_before_new_ones_wherever_the_list_names_them(
+def test_leaving_hosts_are_applied_before_new_ones_whatever_the_order_of_the_list(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     async def main() -> None:
-        watched = Watched(monkeypatch, 2000)
+        harness = DiscoveryHarness(monkeypatch, 2000)
         new = [_host(number) for number in range(5000, 5500)]
         drains = [_host(number, health="terminating") for number in range(500)]
-        await watched.discovery.apply_without_blocking(_list(2, [*new, *_hosts(1800)[500:], *drains]))
-        assert watched.states() == [GONE] * 200 + [DRAINING] * 500 + [READY] * 500
-        assert all(len(event.entries) <= list_intake.CHANGED_PER_STEP for event in watched.events)
+        await harness.discovery.apply_without_blocking(_list(2, [*new, *_hosts(1800)[500:], *drains]))
+        assert harness.states() == [GONE] * 200 + [DRAINING] * 500 + [READY] * 500
+        assert all(len(event.entries) <= list_intake.CHANGED_PER_STEP for event in harness.events)
 
     run(main())
 
 
-def test_requests_are_answered_while_a_list_is_taken_in() -> None:
+def test_requests_are_answered_while_a_list_is_applied() -> None:
     async def main() -> None:
         async with World(lambda words: served()) as world:
             discovery, client = world.parts.discovery, await world.client()
@@ -310,7 +319,7 @@
     run(main())
 
 
-def test_a_gateway_is_not_ready_before_the_first_list_after_a_handover_is_whole() -> None:
+def test_a_gateway_is_not_ready_before_the_first_list_after_a_handover_is_applied_completely() -> None:
     async def main() -> None:
         async with World(lambda words: served()) as world:
             node, discovery = world.parts.node, world.parts.discovery
@@ -326,30 +335,32 @@
             assert node.ready()
             apply_task = asyncio.create_task(discovery.apply_without_blocking(_list(4, _hosts(300))))
             while not apply_task.done():
-                assert node.ready()  # which it was before this list
+                assert node.ready()  # because it was ready before this list
                 await asyncio.sleep(0)
 
     run(main())
 
 
-def test_a_move_in_the_middle_of_a_list_mixes_no_versions(monkeypatch: pytest.MonkeyPatch) -> None:
-    """The list that has come whole is applied to its end, then that of the new address, which counts."""
+def test_a_new_discovery_address_during_the_application_of_a_list_mixes_no_versions(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
+    """A list that has arrived completely is applied to its end before the list of the new address."""
 
     async def main() -> None:
-        watched, agents = Watched(monkeypatch, 1000), [await Agent().start() for _ in range(2)]
-        discovery = watched.discovery
+        harness, agents = DiscoveryHarness(monkeypatch, 1000), [await Agent().start() for _ in range(2)]
+        discovery = harness.discovery
         discovery.timeout_ms = 10_000.0
         discovery.move(agents[0].address)
         agents[0].put(_list(50, _hosts(500) + [_host(n) for n in range(2000, 4000)]))
-        while len(watched.events) < 5:
+        while len(harness.events) < 5:
             await asyncio.sleep(0)
-        assert discovery.seq is None  # it only advances when all is applied
+        assert discovery.seq is None  # it changes only when the list is applied completely
         discovery.move(agents[1].address)
         agents[1].put(_list(3, [_host(n) for n in range(3000, 5000)]))
         assert await soon(agents[1].calls.get()) == "/discovery/hosts"
         assert "index=3&" in await soon(agents[1].calls.get())
-        # All of the first list, and nothing of the second before.
-        assert watched.states() == [GONE] * 500 + [READY] * 2000 + [GONE] * 1500 + [READY] * 1000
+        # The first list is applied completely before the second one begins.
+        assert harness.states() == [GONE] * 500 + [READY] * 2000 + [GONE] * 1500 + [READY] * 1000
         assert set(discovery.table.numbers) == {f"host-{n}" for n in range(3000, 5000)}
         assert discovery.seq == 3
         await discovery.stop()
@@ -359,68 +370,68 @@
     run(main())
 
 
-def test_a_list_that_comes_while_another_is_applied_waits_for_its_end(
+def test_a_list_that_arrives_while_another_is_applied_waits_for_its_end(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     async def main() -> None:
-        watched = Watched(monkeypatch, 1000)
+        harness = DiscoveryHarness(monkeypatch, 1000)
         first = asyncio.create_task(
-            watched.discovery.apply_without_blocking(_list(2, _hosts(1000, health="terminating")))
+            harness.discovery.apply_without_blocking(_list(2, _hosts(1000, health="terminating")))
         )
-        while not watched.events:
+        while not harness.events:
             await asyncio.sleep(0)
-        second = asyncio.create_task(watched.discovery.apply_without_blocking(_list(3, [_host(5)], False)))
+        second = asyncio.create_task(harness.discovery.apply_without_blocking(_list(3, [_host(5)], False)))
         await soon(asyncio.gather(first, second))
-        assert watched.states() == [DRAINING] * 1000 + [READY] and watched.discovery.seq == 3
-        third = asyncio.create_task(watched.discovery.apply_without_blocking(_list(4, _hosts(1000))))
-        while len(watched.events) < 45:
+        assert harness.states() == [DRAINING] * 1000 + [READY] and harness.discovery.seq == 3
+        third = asyncio.create_task(harness.discovery.apply_without_blocking(_list(4, _hosts(1000))))
+        while len(harness.events) < 45:
             await asyncio.sleep(0)
-        watched.discovery.apply(_list(5, [_host(6, health="terminated")], False))
-        assert watched.states()[1001:] == [READY] * 999 + [GONE] and watched.discovery.seq == 5
+        harness.discovery.apply(_list(5, [_host(6, health="terminated")], False))
+        assert harness.states()[1001:] == [READY] * 999 + [GONE] and harness.discovery.seq == 5
         await soon(third)
 
     run(main())
 
 
-def test_a_list_that_failed_in_the_middle_is_applied_whole_the_next_time(
+def test_a_list_that_failed_midway_is_applied_completely_the_next_time(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     async def main() -> None:
-        watched, left = Watched(monkeypatch, 1000), [100]
-        update_host = watched.pools.update_host
+        harness, updates_left = DiscoveryHarness(monkeypatch, 1000), [100]
+        update_host = harness.pools.update_host
 
         def fail(*arguments: Any) -> None:
-            left[0] -= 1
-            if not left[0]:
+            updates_left[0] -= 1
+            if not updates_left[0]:
                 raise RuntimeError("made up")
             update_host(*arguments)
 
-        monkeypatch.setattr(watched.pools, "update_host", fail)
+        monkeypatch.setattr(harness.pools, "update_host", fail)
         drains = _hosts(1000, health="terminating")
         with pytest.raises(RuntimeError):
-            await watched.discovery.apply_without_blocking(_list(2, drains))
-        assert watched.discovery.seq == 1
-        await watched.discovery.apply_without_blocking(_list(2, drains))
-        assert watched.discovery.seq == 2 and all(pool.leaving for pool in watched.pools.pools.values())
-        assert watched.states()[-1000:] == [DRAINING] * 1000
+            await harness.discovery.apply_without_blocking(_list(2, drains))
+        assert harness.discovery.seq == 1
+        await harness.discovery.apply_without_blocking(_list(2, drains))
+        assert harness.discovery.seq == 2 and all(pool.leaving for pool in harness.pools.pools.values())
+        assert harness.states()[-1000:] == [DRAINING] * 1000
 
     run(main())
 
 
 @pytest.mark.parametrize("size", [20, 17_000])
-def test_bad_entries_take_no_other_with_them_and_are_one_logged_line(
+def test_bad_entries_do_not_affect_others_and_are_logged_as_one_line(
     size: int, monkeypatch: pytest.MonkeyPatch, caplog: pytest.LogCaptureFixture
 ) -> None:
     async def main() -> None:
-        watched = Watched(monkeypatch, size)
+        harness = DiscoveryHarness(monkeypatch, size)
         hosts = _hosts(size)
-        hosts[3] |= {"dial": "nowhere"}  # what is held of it stays in force
+        hosts[3] |= {"dial": "nowhere"}  # its stored entry stays valid
         hosts[4] |= {"share": math.inf}
         hosts += [_host(5, health="terminating"), _host(size + 1, health="odd"), {"dial": "127.0.0.1:1"}]
         hosts += [_host(size + 2, health="terminated")]
-        await watched.discovery.apply_without_blocking(_list(2, hosts))
-        table, pools = watched.discovery.table, watched.pools.pools
-        assert set(table.numbers) == {f"host-{n}" for n in range(size)} and watched.discovery.seq == 2
+        await harness.discovery.apply_without_blocking(_list(2, hosts))
+        table, pools = harness.discovery.table, harness.pools.pools
+        assert set(table.numbers) == {f"host-{n}" for n in range(size)} and harness.discovery.seq == 2
         assert [number for number, pool in pools.items() if pool.leaving] == [table.numbers["host-5"]]
         (line,) = [record.getMessage() for record in caplog.records]
         assert "version 2" in line and "4 malformed, the first host-3" in line
@@ -432,18 +443,18 @@
 @pytest.mark.parametrize("known_first", [True, False])
 def test_the_last_entry_of_a_host_counts(known_first: bool, monkeypatch: pytest.MonkeyPatch) -> None:
     async def main() -> None:
-        watched = Watched(monkeypatch, 1000)
+        harness = DiscoveryHarness(monkeypatch, 1000)
         same, other = _host(7), _host(7, health="terminating", dial="127.0.0.1:9")
-        hosts = [one for one in _hosts(1000) if one["host"] != "host-7"]
+        hosts = [host for host in _hosts(1000) if host["host"] != "host-7"]
         twice = [same, other, same] if known_first else [same, other]
-        await watched.discovery.apply_without_blocking(_list(2, [*twice, *hosts]))
-        pool = watched.pools.pools[watched.discovery.table.numbers["host-7"]]
-        assert pool.leaving is not known_first and watched.states() == [DRAINING] * (not known_first)
+        await harness.discovery.apply_without_blocking(_list(2, [*twice, *hosts]))
+        pool = harness.pools.pools[harness.discovery.table.numbers["host-7"]]
+        assert pool.leaving is not known_first and harness.states() == [DRAINING] * (not known_first)
 
     run(main())
 
 
-def test_a_long_list_is_decoded_in_a_thread_that_ends_and_a_short_one_at_once() -> None:
+def test_a_long_list_is_decoded_in_a_thread_that_ends_and_a_short_one_without_a_thread() -> None:
     async def main() -> None:
         interval = sys.getswitchinterval()
         short, long = (json.dumps(_list(2, _hosts(count))).encode() for count in (200, 2000))
@@ -462,15 +473,15 @@
 
 
 @pytest.mark.parametrize("bad", ["cut", "over the limit", "older", "no list"])
-def test_a_large_answer_that_cannot_be_taken_changes_nothing_and_is_one_logged_line(
+def test_a_large_answer_that_is_rejected_changes_nothing_and_is_logged_as_one_line(
     bad: str, monkeypatch: pytest.MonkeyPatch, caplog: pytest.LogCaptureFixture
 ) -> None:
     async def main() -> None:
-        watched, agent = Watched(monkeypatch), await Agent().start()
-        discovery = watched.discovery
+        harness, agent = DiscoveryHarness(monkeypatch), await Agent().start()
+        discovery = harness.discovery
         discovery.timeout_ms = 10_000.0
         discovery.apply(_list(5, _hosts(2000)))
-        watched.events.clear()
+        harness.events.clear()
         discovery.address = agent.address
         discovery.start()
         await soon(agent.calls.get())
@@ -483,12 +494,12 @@
             answer = b"[%s]" % answer
         agent.put(answer)
         await soon(agent.calls.get())
-        assert not watched.events and discovery.seq == 5 and len(watched.pools.pools) == 2000
+        assert not harness.events and discovery.seq == 5 and len(harness.pools.pools) == 2000
         assert len(caplog.records) == 1
         monkeypatch.undo()
         agent.put(_list(7, [_host(1, health="terminating")], False))
         await soon(agent.calls.get())
-        assert watched.states() == [DRAINING] and discovery.seq == 7
+        assert harness.states() == [DRAINING] and discovery.seq == 7
         await discovery.stop()
         agent.server.close()
 
@@ -496,13 +507,13 @@
 
 
 def test_a_list_of_17000_hosts_fits_the_limit_with_long_names_too() -> None:
-    long = _hosts(17_000, dial="[2001:0db8:0000:0000:0000:0000:0000:0001]:6379")
-    size = sum(len(json.dumps(host | {"host": f"{host['host']:x<63}"})) + 2 for host in long)
+    long_hosts = _hosts(17_000, dial="[2001:0db8:0000:0000:0000:0000:0000:0001]:6379")
+    size = sum(len(json.dumps(host | {"host": f"{host['host']:x<63}"})) + 2 for host in long_hosts)
     assert 3 * size < discovery_module.MAX_BODY_BYTES
 
 
-class Model:
-    """What lists and changes leave behind, in the plainest form."""
+class ListModel:
+    """A simple model of the hosts that remain after lists and changes."""
 
     def __init__(self) -> None:
         self.hosts: dict[str, tuple[it.HostState, str]] = {}
@@ -517,10 +528,10 @@
         self.hosts = {name: held for name, held in self.hosts.items() if held[0] is not GONE}
 
 
-class Timers:
-    """An event loop without time: its timers never fire."""
+class FakeLoop:
+    """An event loop whose timers never fire."""
 
-    def call_later(self, delay: float, callback: Callable[..., None], *arguments: Any) -> Timers:
+    def call_later(self, delay: float, callback: Callable[..., None], *arguments: Any) -> FakeLoop:
         return self
 
     def cancel(self) -> None: ...
@@ -542,18 +553,18 @@
 
 @given(ANSWERS)
 @settings(max_examples=300, deadline=None)
-def test_any_order_of_lists_and_changes_leaves_what_a_plain_model_says(
+def test_any_sequence_of_lists_and_changes_gives_the_same_hosts_as_a_simple_model(
     answers: list[tuple[bool, list[tuple[int, str, int, int]], str]],
 ) -> None:
-    """Applied at once, in steps of one or two entries, or in steps that the next list finds half done."""
+    """Apply lists at once, in steps of one or two entries, or in steps that the next list interrupts."""
     with pytest.MonkeyPatch.context() as monkeypatch:
         monkeypatch.setattr(list_intake, "COMPARED_PER_STEP", 2)
         monkeypatch.setattr(list_intake, "CHANGED_PER_STEP", 1)
-        loop: Any = Timers()
+        loop: Any = FakeLoop()
         node = Node(module_settings(), 7, Clock(), loop)
         pools = HostPools(node, 30_000.0, 100)
         discovery = Discovery(node, pools, ("east",), ("127.0.0.1", 1), 7)
-        model = Model()
+        model = ListModel()
         for seq, (whole, entries, how) in enumerate(answers):
             hosts = [
                 _host(number, health=health, dial=f"127.0.0.1:{port}", block=block)
