--- a/tests/test_audit_lists.py
+++ b/tests/test_audit_lists.py
@@ -1,4 +1,4 @@
-"""Clauses on when a change of the list counts as told, at real time limits."""
+"""The time within which a gateway must know a change of the host list, tested in real time."""
 
 from __future__ import annotations
 
@@ -12,19 +12,19 @@
 from rainturn.node.discovery import Discovery
 from tests.sockets import Peer, World, entry, run, served
 
-TOLD_S = 6.0  # a change counts as told so long after discovery had it and could be reached
-RELOAD_TOLD_S = 4.0  # and so long after SIGHUP
+KNOWN_WITHIN_S = 6.0  # after discovery has the change and can be reached
+RELOAD_KNOWN_WITHIN_S = 4.0  # after SIGHUP
 
 
-def _drains(discovery: Discovery, name: str) -> bool:
-    held = discovery.table.fields.get(name)
-    return held is not None and held[4] == "terminating"
+def _is_draining(discovery: Discovery, name: str) -> bool:
+    stored = discovery.table.fields.get(name)
+    return stored is not None and stored[4] == "terminating"
 
 
 @pytest.mark.parametrize("kind", ["push", "ask"])
 @pytest.mark.parametrize("failure", ["silent watch", "silent calls", "silent calls after a reload"])
-def test_a_drain_is_heard_in_time_whatever_failed_before(kind: str, failure: str) -> None:
-    """The watch falls silent, or further calls too for a while, or the new address does after a reload."""
+def test_a_drain_is_received_in_time_whatever_failed_before(kind: str, failure: str) -> None:
+    """The open watch, later calls for a while, or the new address after a reload get no answer."""
 
     async def main() -> None:
         host = await Peer(lambda words: served()).start()
@@ -36,24 +36,24 @@
             discovery.address = addresses[0]
             discovery.apply({"seq": 1, "whole": True, "hosts": [entry("h0", host.dial)]})
             discovery.start()
-            await asyncio.sleep(0.3)  # behind the short first calls: this watch waits long
+            await asyncio.sleep(0.3)  # after the first calls with a short wait; this watch has the long one
             await asyncio.wait_for(first.watched(1), 10)
             changed = lines[0].with_health("terminating")
             for watcher in list(first.watchers):
-                watcher.rest()  # the open watch falls silent for good
+                watcher.rest()  # the open watch never gets an answer
             first.silent = second.silent = True
-            reachable_at, limit_s = time.monotonic(), TOLD_S
+            reachable_at, limit_s = time.monotonic(), KNOWN_WITHIN_S
             if failure == "silent calls after a reload":
                 discovery.move(addresses[1])
-                limit_s = RELOAD_TOLD_S + 1.0  # and the grace of the drain
+                limit_s = RELOAD_KNOWN_WITHIN_S + 1.0  # plus the drain grace
                 await asyncio.sleep(1.0)
             elif failure == "silent calls":
                 await asyncio.sleep(3.0)
                 reachable_at = time.monotonic()
             for service in (first, second):
-                service.directory.change([changed])  # nobody who waits is told
+                service.directory.change([changed])  # no open watch is answered
                 service.silent = False
-            while not _drains(discovery, "h0"):
+            while not _is_draining(discovery, "h0"):
                 assert time.monotonic() - reachable_at < limit_s, failure
                 await asyncio.sleep(0.02)
         for service in (first, second):
