--- a/tests/test_node_services.py
+++ b/tests/test_node_services.py
@@ -133,9 +133,7 @@
             counter.retry_at = 0.0
             counter.call(2, 1.0, 1000.0)
             outcome = await harness.next()
-            while (
-                outcome[1] is not it.Outcome.OK
-            ):  # the delay after a failed connect may be longer than the call's timeout
+            while outcome[1] is not it.Outcome.OK:  # the delay after a failed connect may outlast a call
                 counter.call(2, 1.0, 1000.0)
                 outcome = await harness.next()
             assert outcome == (2, it.Outcome.OK, 9.0)
@@ -232,7 +230,10 @@
 
 @pytest.mark.parametrize("damage", [None, "entry", "empty"])
 def test_a_start_watches_from_the_cached_version_unless_that_list_is_damaged(damage: str | None) -> None:
-    """Guards against 28 gateways that restart together, all fetch full lists and overload discovery."""
+    """Guards against an overload of discovery when many gateways, such as 28, restart together.
+
+    Discovery was overloaded because all of them fetched full lists.
+    """
 
     async def main() -> None:
         async with World() as world:
@@ -374,7 +375,7 @@
 def test_gateways_whose_calls_failed_together_retry_at_different_times(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Guards against 40 gateways that retry together and overload discovery."""
+    """Guards against an overload of discovery when many gateways, such as 40, retry together."""
 
     async def main() -> None:
         delays = await _collect_retry_delays(200, "ask", Refused("status 503"), 400, monkeypatch)
@@ -445,9 +446,8 @@
     async def test(harness: DiscoveryHarness) -> None:
         gone = entry("a", "127.0.0.1:1", health="terminated")
         harness.agent.put({"seq": 3, "whole": False, "hosts": [gone]})
-        assert (
-            await soon(harness.agent.calls.get()) == "/discovery/hosts"
-        )  # the full list, because the numbering may have restarted
+        # The client fetches the full list, because the numbering may have restarted.
+        assert await soon(harness.agent.calls.get()) == "/discovery/hosts"
         assert harness.lists.empty()
         harness.agent.put({"seq": 6, "whole": True, "hosts": [entry("a", "127.0.0.1:1")]})
         assert await harness.next() == (it.ListKind.FULL, [(1, it.HostState.READY)])
