--- a/rainturn/node/assembly.py
+++ b/rainturn/node/assembly.py
@@ -62,8 +62,8 @@
 
     def give_room(self, room: int) -> None:
         """Split the room for connections between hosts and clients."""
-        self.pools.budget = int(room * HOSTS_PART)
-        self.clients.budget = room - self.pools.budget
+        self.pools.max_connections = int(room * HOSTS_PART)
+        self.clients.budget = room - self.pools.max_connections
 
 
 def routes(node: Node, clients: ClientListener, names: Names) -> dict[bytes, dict[bytes, Route]]:
@@ -106,7 +106,9 @@
     budget = max(8, descriptors - RESERVE - (CONNECTIONS if config.control else 0))
     pools = node.hosts = HostPools(node, config.idle_ms, int(budget * HOSTS_PART))
     counter = node.counter = Counter(node, config.counter) if config.counter else NoCounter()
-    clients = ClientListener(node, config.names, budget - pools.budget, config.max_open, config.memory_mb)
+    clients = ClientListener(
+        node, config.names, budget - pools.max_connections, config.max_open, config.memory_mb
+    )
     discovery = Discovery(node, pools, config.names.zones, config.discovery, config.seed)
     if config.known is not None:
         try:
@@ -123,7 +125,7 @@
     if held is None:
         parts.give_room(parts.room)
     elif older:  # it grows no more than to a half
-        open_now = len(parts.clients.connections) + parts.pools.open + parts.pools.connecting
+        open_now = len(parts.clients.connections) + parts.pools.open_connections + parts.pools.connecting
         parts.give_room(max(parts.room // 2, open_now))
     else:
         parts.give_room(max(8, parts.room - max(parts.room // 2, held)))
--- a/rainturn/node/host_connection.py
+++ b/rainturn/node/host_connection.py
@@ -12,9 +12,9 @@
 from rainturn.node.requests import Attempt
 from rainturn.node.resp import LongValue, Outgoing, Spoilt, answer, end_sending, fields, pack, unsent
 
-STALL_S = 0.5  # time limit between two pieces of an answer that is kept whole
-VALUE_STALL_S = 4.0  # the same for a long value, which is passed on as it comes
-UPLOAD_STALL_S = 3.0  # how long a host may accept no byte of a request body that is passed on
+STALL_LIMIT_S = 0.5  # time limit between two pieces of an answer that is kept whole
+VALUE_STALL_LIMIT_S = 4.0  # the same for a long value, which is passed on as it comes
+UPLOAD_STALL_LIMIT_S = 3.0  # how long a host may accept no byte of a request body that is passed on
 
 
 class ConnectionOwner(Protocol):
@@ -71,7 +71,7 @@
         super().connection_made(transport)
         self.poll.register(transport.get_extra_info("socket").fileno(), select.POLLIN)
 
-    def usable(self, now: float) -> bool:
+    def is_usable(self, now: float) -> bool:
         """Whether an idle connection may carry an attempt: within its idle limit, and with no input on it.
 
         Guards against a request that crosses the host's close, and against an answer that nobody asked for
@@ -81,7 +81,7 @@
 
     # Sending.
 
-    def begin(self, attempt: Attempt, now: float) -> None:
+    def send_command(self, attempt: Attempt, now: float) -> None:
         """Write an attempt's command."""
         self.attempt, attempt.connection = attempt, self
         body = attempt.request.body
@@ -121,7 +121,7 @@
         if not first and backlog >= self.upload_backlog:
             return self.close(it.Outcome.UNREACHABLE)  # the command stays incomplete: it never runs
         self.upload_backlog = backlog
-        self._set_stall_timer(UPLOAD_STALL_S, self._check_upload)
+        self._set_stall_timer(UPLOAD_STALL_LIMIT_S, self._check_upload)
 
     def resume_writing(self) -> None:
         """All bytes that we have of the command have been sent."""
@@ -153,7 +153,7 @@
         except Spoilt:
             return self.fail()
         if reply is None:
-            return self._set_stall_timer(STALL_S, self.fail)
+            return self._set_stall_timer(STALL_LIMIT_S, self.fail)
         if isinstance(reply, LongValue):
             return self._begin_value(attempt, reply)
         outcome, value = it.Outcome.OK, reply.value
@@ -196,13 +196,13 @@
             self.reading_paused = True
             self.transport.pause_reading()
             return self._cancel_stall_timer()
-        self._set_stall_timer(VALUE_STALL_S, self.fail)
+        self._set_stall_timer(VALUE_STALL_LIMIT_S, self.fail)
 
     def resume_value(self) -> None:
         """Read on: the client accepts more."""
         if self.reading_paused and not self.closed:
             self.reading_paused = False
-            self._set_stall_timer(VALUE_STALL_S, self.fail)
+            self._set_stall_timer(VALUE_STALL_LIMIT_S, self.fail)
             self.transport.resume_reading()
 
     def _answered(
@@ -227,7 +227,7 @@
             # One limit for all fields together: nobody waits for them, and a few bytes now and then would
             # hold the connection for good.
             if self.stall_timer is None:
-                self._set_stall_timer(STALL_S, self.close)
+                self._set_stall_timer(STALL_LIMIT_S, self.close)
             return
         if not complete:
             # Guards against taking bytes that follow a good answer for the answer to the next request.
--- a/rainturn/node/host_pools.py
+++ b/rainturn/node/host_pools.py
@@ -13,8 +13,10 @@
 from rainturn.node.requests import Attempt
 from rainturn.node.system_errors import OwnShortage, connect
 
-SETTLE_MS = 10.0  # idle time before a connection is used again: a host's second answer comes some ms late
-IDLE_LIMIT_PART = 0.7  # of the hosts' own idle limit: a request must not cross their close
+REUSE_DELAY_MS = (
+    10.0  # idle time before a connection is used again: a host's second answer comes some ms late
+)
+IDLE_LIMIT_FRACTION = 0.7  # of the hosts' own idle limit: a request must not cross their close
 NO_ADDRESS = ("", 0)
 
 
@@ -38,7 +40,7 @@
         "connecting",
         "waiting",
         "idle_timer",
-        "settle_timer",
+        "reuse_timer",
     )
 
     def __init__(self, pools: HostPools, number: int, name: str) -> None:
@@ -51,7 +53,9 @@
         self.connecting = 0
         self.waiting = cast("deque[Attempt]", ())
         self.idle_timer: asyncio.TimerHandle | None = None  # for the close of the oldest idle connection
-        self.settle_timer: asyncio.TimerHandle | None = None  # set while attempts wait for SETTLE_MS to pass
+        self.reuse_timer: asyncio.TimerHandle | None = (
+            None  # set while attempts wait for REUSE_DELAY_MS to pass
+        )
 
     def _allocate(self) -> None:
         """Give the pool containers of its own."""
@@ -73,7 +77,7 @@
         self._allocate()
         self.waiting.append(attempt)
         if self.leaving:
-            self.pools.to_return.add(self)
+            self.pools.pools_to_return.add(self)
         self._serve_waiting()
 
     def _serve_waiting(self) -> None:
@@ -86,17 +90,17 @@
         """Use the most recently used first, but none that may yet get a second answer to its last command."""
         now = self.node.clock.now()
         while self.waiting:
-            found = next((c for c in reversed(self.idle) if now - c.idle_since >= SETTLE_MS), None)
+            found = next((c for c in reversed(self.idle) if now - c.idle_since >= REUSE_DELAY_MS), None)
             if found is None:
                 return
             self._remove_idle(found)
-            if not found.usable(now):
+            if not found.is_usable(now):
                 found.close()
             elif not self._begin(found, self.waiting.popleft()):
                 self.release(found)
 
-    def _on_settle_timer(self) -> None:
-        self.settle_timer = None
+    def _on_reuse_timer(self) -> None:
+        self.reuse_timer = None
         self._serve_waiting()
 
     def _begin(self, connection: HostConnection, attempt: Attempt) -> bool:
@@ -109,7 +113,7 @@
             # And against a client whose end is not read yet, as it is not read from or the loop was late.
             node.attempt_ended(attempt, it.Outcome.MOOT)
             return False
-        connection.begin(attempt, now)
+        connection.send_command(attempt, now)
         return True
 
     def _open(self) -> None:
@@ -144,15 +148,15 @@
         if self.connecting < len(self.waiting):
             if not self.idle:
                 node.attempt_ended(self.waiting.popleft(), failure)
-            elif self.settle_timer is None:  # the host may accept no more, and an idle one is usable soon
-                self.settle_timer = node.loop.call_later(SETTLE_MS / 1000, self._on_settle_timer)
-        self.forget_if_over()
+            elif self.reuse_timer is None:  # the host may accept no more, and an idle one is usable soon
+                self.reuse_timer = node.loop.call_later(REUSE_DELAY_MS / 1000, self._on_reuse_timer)
+        self.forget_if_unused()
 
     def add_connection(self, connection: HostConnection) -> None:
         """Give a new connection to the attempt that has waited longest, or keep it as an idle one."""
         self._allocate()
         self.connections.add(connection)
-        self.pools.open += 1
+        self.pools.open_connections += 1
         if connection.address != self.address:
             # Guards against a connect that was under way when the list moved the host.
             connection.close()
@@ -201,16 +205,16 @@
         """Forget a connection that has closed."""
         if connection in self.connections:
             self.connections.discard(connection)
-            self.pools.open -= 1
+            self.pools.open_connections -= 1
         if connection in self.pools.idle:
             self._remove_idle(connection)
-        self.forget_if_over()
+        self.forget_if_unused()
 
     def _remove_idle(self, connection: HostConnection) -> None:
         self.idle.remove(connection)
         del self.pools.idle[connection]
 
-    def forget_if_over(self) -> None:
+    def forget_if_unused(self) -> None:
         """Forget a host that is gone once nothing is left with it: hosts are replaced by new ones all day."""
         if self.gone and not (self.connections or self.connecting or self.waiting):
             self.pools.forget(self)
@@ -219,13 +223,13 @@
 class HostPools:
     """The pools of all hosts by the module's numbers, and the limit on their connections."""
 
-    def __init__(self, node: Node, idle_limit_ms: float, budget: int) -> None:
-        self.node, self.budget = node, budget
-        self.idle_limit_ms = idle_limit_ms * IDLE_LIMIT_PART
+    def __init__(self, node: Node, idle_limit_ms: float, max_connections: int) -> None:
+        self.node, self.max_connections = node, max_connections
+        self.idle_limit_ms = idle_limit_ms * IDLE_LIMIT_FRACTION
         self.pools: dict[int, HostPool] = {}
         self.idle: OrderedDict[HostConnection, None] = OrderedDict()  # of all pools, the oldest first
-        self.to_return: set[HostPool] = set()  # those in which attempts wait for a host that leaves
-        self.open = self.connecting = 0
+        self.pools_to_return: set[HostPool] = set()  # those in which attempts wait for a host that leaves
+        self.open_connections = self.connecting = 0
         self.closing = False  # whether connections close when their attempt ends
         self.tasks: set[asyncio.Task[None]] = set()
         self.on_forgotten: Callable[[str], None] = lambda name: None  # called with a forgotten host's name
@@ -252,8 +256,8 @@
         pool.leaving = not ready
         pool.gone = state is it.HostState.GONE
         if pool.leaving and pool.waiting:
-            self.to_return.add(pool)
-        pool.forget_if_over()
+            self.pools_to_return.add(pool)
+        pool.forget_if_unused()
 
     def return_waiting(self) -> None:
         """Return what still waits for hosts that leave to the module, which has had the list by now.
@@ -261,12 +265,12 @@
         Nobody here may know when their drain was announced, and so how long the grace lasts: the agent may
         have had the news for a while. Nothing new goes to them at all.
         """
-        pools = sorted(self.to_return, key=lambda pool: pool.number)
-        self.to_return.clear()
+        pools = sorted(self.pools_to_return, key=lambda pool: pool.number)
+        self.pools_to_return.clear()
         for pool in pools:
             while pool.leaving and pool.waiting:
                 self.node.attempt_ended(pool.waiting.popleft(), it.Outcome.MOOT)
-            pool.forget_if_over()
+            pool.forget_if_unused()
 
     def close_idle(self) -> None:
         """Close all idle connections, and from now on each one when its attempt ends."""
@@ -288,11 +292,11 @@
             connection.pool.close_idle_before(attempt.started_at)
         elif pool is not None and attempt in pool.waiting:
             pool.waiting.remove(attempt)
-            pool.forget_if_over()
+            pool.forget_if_unused()
 
     def make_room(self) -> bool:
         """Whether the limit allows one more connection, after closing the oldest idle one if it must."""
-        if self.open + self.connecting < self.budget:
+        if self.open_connections + self.connecting < self.max_connections:
             return True
         if not self.idle:
             return False
--- a/tests/test_node_hosts.py
+++ b/tests/test_node_hosts.py
@@ -16,7 +16,7 @@
 from tests.sockets import WIRE, Held, Peer, World, entry, reset, run, served, soon
 
 
-class Log:
+class EventLog:
     """Keeps the events that the module is given, and lets a test wait for one."""
 
     def __init__(self, world: World) -> None:
@@ -29,7 +29,7 @@
         self.events.put_nowait(event)
         return self.handle(now, event)
 
-    async def ended(self) -> it.AttemptEnded:
+    async def next_attempt_end(self) -> it.AttemptEnded:
         while True:
             event = await soon(self.events.get())
             self.seen.append(event)
@@ -61,7 +61,7 @@
     def cut_value(self, request: Request) -> None: ...
 
 
-def _attempt(world: World) -> Attempt:
+def add_attempt(world: World) -> Attempt:
     """An attempt of a request that the module does not know, at the first host."""
     node = world.parts.node
     now = node.clock.now()
@@ -92,17 +92,17 @@
     async def main() -> None:
         handler = _first({b"1": b"-BUSY\r\n", b"2": b"-ERR failed\r\n"}, served())
         async with World(handler, handler) as world:
-            log, client = Log(world), await world.client()
+            log, client = EventLog(world), await world.client()
             client.ask(b"1", b"pay", body=b"x")
             assert await client.answer() == b"value"  # sent again, as it never ran
-            ends = [await log.ended(), await log.ended()]
+            ends = [await log.next_attempt_end(), await log.next_attempt_end()]
             assert [(e.attempt, e.outcome, e.final) for e in ends] == [
                 (0, it.Outcome.FULL, False),
                 (1, it.Outcome.OK, True),
             ]
             client.ask(b"2", b"pay", body=b"x")
             assert await client.answer() == "-ERR failed"  # it may have run: neither repeated nor refused
-            assert (await log.ended()).outcome is it.Outcome.ERROR
+            assert (await log.next_attempt_end()).outcome is it.Outcome.ERROR
 
     run(main())
 
@@ -110,10 +110,10 @@
 def test_a_break_after_the_last_byte_may_have_run_and_is_not_sent_again_silently() -> None:
     async def main() -> None:
         async with World(lambda words: Peer.RESET) as world:
-            log, client = Log(world), await world.client()
+            log, client = EventLog(world), await world.client()
             client.ask(b"1", b"pay", body=b"x")
             assert await client.answer() == "-ERR failed"
-            assert (await log.ended()).outcome is it.Outcome.RESET
+            assert (await log.next_attempt_end()).outcome is it.Outcome.RESET
             assert world.hosts[0].commands.qsize() == 1
 
     run(main())
@@ -122,13 +122,13 @@
 def test_a_break_before_the_last_byte_proves_that_nothing_ran() -> None:
     async def main() -> None:
         async with World(lambda words: served()) as world:
-            log = Log(world)
+            log = EventLog(world)
             host = socket.create_server(("127.0.0.1", 0))
             host.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
             host.setblocking(False)
             pool = world.parts.pools.pools[1]
             pool.address = host.getsockname()
-            attempt = _attempt(world)
+            attempt = add_attempt(world)
             attempt.request.words.append(b"x" * (16 << 20))  # more than the buffers of the system take
             pool.start(attempt)
             sock, _ = await soon(asyncio.get_running_loop().sock_accept(host))
@@ -136,7 +136,7 @@
             await soon(reader.readexactly(10))
             assert attempt.connection is not None
             reset(writer)
-            assert (await log.ended()).outcome is it.Outcome.UNREACHABLE
+            assert (await log.next_attempt_end()).outcome is it.Outcome.UNREACHABLE
             host.close()
 
     run(main())
@@ -145,12 +145,12 @@
 def test_a_refused_connection_never_ran() -> None:
     async def main() -> None:
         async with World(lambda words: served()) as world:
-            log, pool = Log(world), world.parts.pools.pools[1]
+            log, pool = EventLog(world), world.parts.pools.pools[1]
             with socket.socket() as closed:
                 closed.bind(("127.0.0.1", 0))  # bound, and not listening
                 pool.address = closed.getsockname()
-                pool.start(_attempt(world))
-                assert (await log.ended()).outcome is it.Outcome.UNREACHABLE
+                pool.start(add_attempt(world))
+                assert (await log.next_attempt_end()).outcome is it.Outcome.UNREACHABLE
 
     run(main())
 
@@ -160,7 +160,7 @@
         async with World(
             lambda words: served(), wire={"limits": {"max_attempts": 6, "connect_timeout_ms": 50}}
         ) as world:
-            log = Log(world)
+            log = EventLog(world)
             deaf = socket.socket()
             deaf.bind(("127.0.0.1", 0))
             deaf.listen(0)
@@ -170,8 +170,8 @@
                 sock.connect_ex(deaf.getsockname())
             pool = world.parts.pools.pools[1]
             pool.address = deaf.getsockname()
-            pool.start(_attempt(world))
-            end = await log.ended()
+            pool.start(add_attempt(world))
+            end = await log.next_attempt_end()
             assert end.outcome is it.Outcome.UNREACHABLE and end.elapsed >= 45
             for sock in [deaf, *filling]:
                 sock.close()
@@ -182,10 +182,10 @@
 def test_nothing_is_written_for_a_request_that_ended_while_its_connect_was_under_way() -> None:
     async def main() -> None:
         async with World(lambda words: served()) as world:
-            log, attempt = Log(world), _attempt(world)
+            log, attempt = EventLog(world), add_attempt(world)
             world.parts.pools.start(attempt)
             world.parts.node.client_left(attempt.request)
-            assert (await log.ended()).outcome is it.Outcome.MOOT
+            assert (await log.next_attempt_end()).outcome is it.Outcome.MOOT
             world.parts.pools.pools[1].close_idle()
             await soon(world.hosts[0].closed.get())
             assert world.hosts[0].commands.empty()
@@ -233,10 +233,10 @@
 def test_nothing_is_written_to_a_host_that_leaves_as_its_connection_comes_up() -> None:
     async def main() -> None:
         async with World(lambda words: served()) as world:
-            log, pool = Log(world), world.parts.pools.pools[1]
-            world.parts.pools.start(_attempt(world))
+            log, pool = EventLog(world), world.parts.pools.pools[1]
+            world.parts.pools.start(add_attempt(world))
             pool.leaving = True  # whatever made it so
-            assert (await log.ended()).outcome is it.Outcome.MOOT
+            assert (await log.next_attempt_end()).outcome is it.Outcome.MOOT
             await soon(world.hosts[0].closed.get())
             assert world.hosts[0].commands.empty()
 
@@ -246,14 +246,14 @@
 def test_a_cancelled_attempt_closes_its_connection_and_is_told_once() -> None:
     async def main() -> None:
         async with World(lambda words: None) as world:
-            log, attempt = Log(world), _attempt(world)
+            log, attempt = EventLog(world), add_attempt(world)
             world.parts.pools.start(attempt)
             await soon(world.hosts[0].commands.get())
             node = world.parts.node
             for _ in range(2):
                 node._cancel(it.Cancel(attempt.request.number, 0), node.clock.now())
             await soon(world.hosts[0].closed.get())
-            assert (await log.ended()).outcome is it.Outcome.CANCELLED
+            assert (await log.next_attempt_end()).outcome is it.Outcome.CANCELLED
             assert log.events.empty()
 
     run(main())
@@ -283,9 +283,9 @@
     how: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """The first one's other side is looked at just then: our loop closes a turn later than it writes."""
-    monkeypatch.setattr(host_connection, "STALL_S", 0.05)
+    monkeypatch.setattr(host_connection, "STALL_LIMIT_S", 0.05)
     first = {"cancelled": None, "spoilt": b"+OK\r\n", "never ends": b"*3\r\n$5\r\nval"}[how]
-    begin, asked, ended = host_connection.HostConnection.begin, list[socket.socket](), list[bool]()
+    begin, asked, ended = host_connection.HostConnection.send_command, list[socket.socket](), list[bool]()
 
     def look(connection: host_connection.HostConnection, attempt: Attempt, now: float) -> None:
         poll = select.poll()
@@ -294,7 +294,7 @@
         ended.append(len(poll.poll(0)) == len(asked))
         begin(connection, attempt, now)
 
-    monkeypatch.setattr(host_connection.HostConnection, "begin", look)
+    monkeypatch.setattr(host_connection.HostConnection, "send_command", look)
 
     async def main() -> None:
         async with World(lambda words: served(), lambda words: served()) as world:
@@ -359,8 +359,8 @@
 
     async def main() -> None:
         async with World(lambda words: None) as world:
-            log, node = Log(world), world.parts.node
-            attempt = _attempt(world)
+            log, node = EventLog(world), world.parts.node
+            attempt = add_attempt(world)
             world.parts.pools.start(attempt)
             await soon(world.hosts[0].commands.get())
             peer, connection = _peer_of(world), attempt.connection
@@ -370,10 +370,14 @@
             node._timed_out(attempt)  # no turn of the loop between
             node._timed_out(attempt)
             node.attempt_ended(attempt, it.Outcome.OK, b"value")
-            assert (await log.ended()).outcome is it.Outcome.TIMEOUT
+            assert (await log.next_attempt_end()).outcome is it.Outcome.TIMEOUT
             await soon(world.hosts[0].closed.get())
             assert isinstance(connection, host_connection.HostConnection) and connection.closed
-            assert attempt.request.open_attempts == 0 and log.events.empty() and not world.parts.pools.open
+            assert (
+                attempt.request.open_attempts == 0
+                and log.events.empty()
+                and not world.parts.pools.open_connections
+            )
 
     run(main())
 
@@ -381,17 +385,17 @@
 def test_a_connect_that_comes_up_as_its_time_ends_leaves_no_connection_behind() -> None:
     async def main() -> None:
         async with World(lambda words: served()) as world:
-            log, pools = Log(world), world.parts.pools
-            pools.start(_attempt(world))
+            log, pools = EventLog(world), world.parts.pools
+            pools.start(add_attempt(world))
             while not pools.connecting:
                 await asyncio.sleep(0)
             await asyncio.sleep(0)  # the connect is under way
             time.sleep(0.3)  # it has come up and its time is over when the loop looks again
-            outcome = (await log.ended()).outcome
+            outcome = (await log.next_attempt_end()).outcome
             if outcome is it.Outcome.UNREACHABLE:
                 await soon(world.hosts[0].closed.get())
-                assert world.hosts[0].commands.empty() and not pools.open
-            assert not pools.connecting and pools.open == len(pools.pools[1].connections)
+                assert world.hosts[0].commands.empty() and not pools.open_connections
+            assert not pools.connecting and pools.open_connections == len(pools.pools[1].connections)
 
     run(main())
 
@@ -418,7 +422,7 @@
 def test_a_connection_carries_one_request_at_a_time_and_is_used_again(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(host_pools, "SETTLE_MS", 0.0)  # as if it had settled
+    monkeypatch.setattr(host_pools, "REUSE_DELAY_MS", 0.0)  # as if it had settled
 
     async def main() -> None:
         release = asyncio.Event()
@@ -450,7 +454,7 @@
             client.ask(b"1")
             assert await client.answer() == b"value"
             await soon(world.hosts[0].closed.get())
-            assert not world.parts.pools.open
+            assert not world.parts.pools.open_connections
             client.ask(b"2")
             assert await client.answer() == b"value"
 
@@ -468,11 +472,11 @@
 
     async def main() -> None:
         async with World(lambda words: served()) as world:
-            log, pools = Log(world), world.parts.pools
+            log, pools = EventLog(world), world.parts.pools
             pool = pools.pools[1]
-            pools.start(_attempt(world))
-            assert (await log.ended()).outcome is it.Outcome.OK
-            pool.idle[0].idle_since -= host_pools.SETTLE_MS
+            pools.start(add_attempt(world))
+            assert (await log.next_attempt_end()).outcome is it.Outcome.OK
+            pool.idle[0].idle_since -= host_pools.REUSE_DELAY_MS
             await soon(world.hosts[0].commands.get())
             old, peer = pool.idle[0], _peer_of(world)
             raw = socket.socket(fileno=socket.dup(peer.get_extra_info("socket").fileno()))
@@ -483,16 +487,16 @@
             else:
                 old.idle_since -= pools.idle_limit_ms + 1.0
             raw.close()
-            pools.start(_attempt(world))  # no turn of the loop between
+            pools.start(add_attempt(world))  # no turn of the loop between
             assert old.closed
-            assert (await log.ended()).outcome is it.Outcome.OK
+            assert (await log.next_attempt_end()).outcome is it.Outcome.OK
             assert world.hosts[0].connected.qsize() == 1  # a new one
 
     run(main())
 
 
 def test_a_second_answer_that_comes_late_is_not_the_next_requests(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(host_pools, "SETTLE_MS", 20_000.0, raising=False)  # as if no time passed
+    monkeypatch.setattr(host_pools, "REUSE_DELAY_MS", 20_000.0, raising=False)  # as if no time passed
 
     async def main() -> None:
         peers: list[Any] = []
@@ -522,13 +526,15 @@
 
     async def main() -> None:
         async with World(lambda words: served()) as world:
-            log, pools = Log(world), world.parts.pools
-            pools.start(_attempt(world))
-            assert (await log.ended()).outcome is it.Outcome.OK
+            log, pools = EventLog(world), world.parts.pools
+            pools.start(add_attempt(world))
+            assert (await log.next_attempt_end()).outcome is it.Outcome.OK
             world.hosts[0].server.close()
-            pools.start(_attempt(world))
+            pools.start(add_attempt(world))
             assert pools.connecting == 1 and len(pools.pools[1].idle) == 1
-            assert (await log.ended()).outcome is it.Outcome.OK and len(pools.pools[1].connections) == 1
+            assert (await log.next_attempt_end()).outcome is it.Outcome.OK and len(
+                pools.pools[1].connections
+            ) == 1
 
     run(main())
 
@@ -536,21 +542,25 @@
 def test_connections_to_a_host_that_fell_silent_are_not_used_again() -> None:
     async def main() -> None:
         async with World(lambda words: served() if words[2] == b"1" else None) as world:
-            log, pools, attempts = Log(world), world.parts.pools, [_attempt(world), _attempt(world)]
+            log, pools, attempts = (
+                EventLog(world),
+                world.parts.pools,
+                [add_attempt(world), add_attempt(world)],
+            )
             for attempt in attempts:
                 pools.start(attempt)
             for _ in attempts:
-                assert (await log.ended()).outcome is it.Outcome.OK
-            silent = _attempt(world)
+                assert (await log.next_attempt_end()).outcome is it.Outcome.OK
+            silent = add_attempt(world)
             silent.request.words[2] = b"silent"
             pools.start(silent)
             while (await soon(world.hosts[0].commands.get()))[2] != b"silent":
                 pass
             world.parts.node._timed_out(silent)
-            assert (await log.ended()).outcome is it.Outcome.TIMEOUT
+            assert (await log.next_attempt_end()).outcome is it.Outcome.TIMEOUT
             for _ in attempts:
                 await soon(world.hosts[0].closed.get())
-            assert not pools.open
+            assert not pools.open_connections
 
     run(main())
 
@@ -558,17 +568,17 @@
 def test_a_host_that_moves_or_starts_again_gets_new_connections() -> None:
     async def main() -> None:
         async with World(lambda words: served(), lambda words: served()) as world:
-            log, pools = Log(world), world.parts.pools
+            log, pools = EventLog(world), world.parts.pools
             old, new = world.hosts
-            pools.start(_attempt(world))
+            pools.start(add_attempt(world))
             await asyncio.sleep(0)  # one turn of the loop: the connect is under way
             pools.update_host(1, new.address, it.HostState.READY, 0.0)
-            assert (await log.ended()).outcome is it.Outcome.OK
+            assert (await log.next_attempt_end()).outcome is it.Outcome.OK
             assert old.commands.empty() and new.commands.qsize() == 1
             pools.update_host(1, new.address, it.HostState.READY, 7.0)
             await soon(new.closed.get())
-            pools.start(_attempt(world))
-            assert (await log.ended()).outcome is it.Outcome.OK
+            pools.start(add_attempt(world))
+            assert (await log.next_attempt_end()).outcome is it.Outcome.OK
 
     run(main())
 
@@ -602,25 +612,27 @@
         ):
             handler = _first({b"1": garbage}, served())
             async with World(handler, handler) as world:
-                log, client = Log(world), await world.client()
+                log, client = EventLog(world), await world.client()
                 client.ask(b"1")
                 assert await client.answer() == b"value", garbage[:20]
-                assert (await log.ended()).outcome is it.Outcome.ERROR  # no reset: the host is not to blame
+                assert (
+                    await log.next_attempt_end()
+                ).outcome is it.Outcome.ERROR  # no reset: the host is not to blame
 
     run(main())
 
 
 def test_an_answer_that_begins_and_never_ends_is_given_up(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(host_connection, "STALL_S", 0.05)
+    monkeypatch.setattr(host_connection, "STALL_LIMIT_S", 0.05)
 
     async def main() -> None:
         for begun in (b"*3\r\n$60000\r\nxx", b"-", b"*"):
             handler = _first({b"1": begun}, served())
             async with World(handler, handler) as world:
-                log, client = Log(world), await world.client()
+                log, client = EventLog(world), await world.client()
                 client.ask(b"1")
                 assert await client.answer() == b"value"
-                assert (await log.ended()).outcome is it.Outcome.ERROR
+                assert (await log.next_attempt_end()).outcome is it.Outcome.ERROR
 
     run(main())
 
@@ -630,10 +642,10 @@
         for behind in (served(b"other"), b"noise", b"\r\n"):
             handler = _first({b"1": served(b"first") + behind}, served())
             async with World(handler) as world:
-                log, client = Log(world), await world.client()
+                log, client = EventLog(world), await world.client()
                 client.ask(b"1")
                 assert await client.answer() == b"first"
-                assert (await log.ended()).outcome is it.Outcome.OK
+                assert (await log.next_attempt_end()).outcome is it.Outcome.OK
                 await soon(world.hosts[0].closed.get())
                 client.ask(b"2")
                 assert await client.answer() == b"value"
@@ -705,15 +717,15 @@
 def test_connections_stay_within_their_budget() -> None:
     async def main() -> None:
         async with World(lambda words: served(), lambda words: None) as world:
-            log, pools = Log(world), world.parts.pools
-            pools.budget = 1
-            pools.start(_attempt(world))
-            assert (await log.ended()).outcome is it.Outcome.OK  # its connection rests now
-            second, third = _attempt(world), _attempt(world)
+            log, pools = EventLog(world), world.parts.pools
+            pools.max_connections = 1
+            pools.start(add_attempt(world))
+            assert (await log.next_attempt_end()).outcome is it.Outcome.OK  # its connection rests now
+            second, third = add_attempt(world), add_attempt(world)
             second.host = third.host = 2
             pools.start(second)
             await soon(world.hosts[0].closed.get())  # it gave way
             pools.start(third)
-            assert (await log.ended()).outcome is it.Outcome.MOOT
+            assert (await log.next_attempt_end()).outcome is it.Outcome.MOOT
 
     run(main())
--- a/tests/test_node_lists_at_scale.py
+++ b/tests/test_node_lists_at_scale.py
@@ -26,7 +26,7 @@
 from tests.helpers import settings as module_settings
 from tests.sockets import Discovery as Agent
 from tests.sockets import World, entry, run, served, soon
-from tests.test_node_hosts import Log, _attempt
+from tests.test_node_hosts import EventLog, add_attempt
 
 SIZES = (200, 17_000)
 READY, DRAINING, GONE = it.HostState.READY, it.HostState.DRAINING, it.HostState.GONE
@@ -53,7 +53,7 @@
 
 
 def _attempt_at(world: World, host: int) -> Attempt:
-    attempt = _attempt(world)
+    attempt = add_attempt(world)
     attempt.host = host
     return attempt
 
@@ -71,7 +71,7 @@
 def test_what_waits_for_hosts_that_leave_is_returned_without_a_walk_over_all_pools(size: int) -> None:
     async def main() -> None:
         async with World(lambda words: None) as world:
-            log, pools = Log(world), _many_pools(world, size)
+            log, pools = EventLog(world), _many_pools(world, size)
             address = pools.pools[1].address
             pools.pools = counted = Counted(pools.pools)
             leaving = [size, size - 3]
@@ -80,12 +80,12 @@
                 pools.update_host(number, address, it.HostState.DRAINING, 0.0)
             pools.update_host(7, address, it.HostState.GONE, 0.0)
             pools.return_waiting()
-            ends = [await log.ended(), await log.ended()]
+            ends = [await log.next_attempt_end(), await log.next_attempt_end()]
             assert [(end.host, end.outcome) for end in ends] == [
                 (size - 3, it.Outcome.MOOT),
                 (size, it.Outcome.MOOT),
             ]
-            assert not counted.visited and not pools.to_return
+            assert not counted.visited and not pools.pools_to_return
 
     run(main())
 
@@ -94,22 +94,22 @@
 def test_room_is_made_by_the_oldest_idle_connection_of_all_pools_without_a_walk_over_them(size: int) -> None:
     async def main() -> None:
         async with World(lambda words: served()) as world:
-            log, pools = Log(world), _many_pools(world, size)
+            log, pools = EventLog(world), _many_pools(world, size)
             pools.pools = counted = Counted(pools.pools)
             used = [size, 5, size - 1, 9]
             for number in used:
                 pools.start(_attempt_at(world, number))
-                assert (await log.ended()).outcome is it.Outcome.OK
+                assert (await log.next_attempt_end()).outcome is it.Outcome.OK
             assert [connection.pool.number for connection in pools.idle] == used  # type: ignore[attr-defined]
-            pools.budget = len(used)
+            pools.max_connections = len(used)
             for closed, number in zip(used, (20, 21, 22, 23), strict=True):
                 assert pools.pools[closed].connections
                 pools.start(_attempt_at(world, number))
                 assert not pools.pools[closed].connections
-                assert (await log.ended()).outcome is it.Outcome.OK
+                assert (await log.next_attempt_end()).outcome is it.Outcome.OK
             assert not counted.visited
             pools.close_idle()
-            assert not counted.visited and not pools.open and not pools.idle
+            assert not counted.visited and not pools.open_connections and not pools.idle
 
     run(main())
 
@@ -118,13 +118,13 @@
 def test_a_host_without_an_attempt_costs_its_pool_no_container(size: int) -> None:
     async def main() -> None:
         async with World(lambda words: served()) as world:
-            log, pools = Log(world), _many_pools(world, size)
+            log, pools = EventLog(world), _many_pools(world, size)
             pools.start(_attempt_at(world, 7))
-            assert (await log.ended()).outcome is it.Outcome.OK
+            assert (await log.next_attempt_end()).outcome is it.Outcome.OK
             used = [number for number, pool in pools.pools.items() if isinstance(pool.connections, set)]
             assert used == [7]
             pools.update_host(7, ("127.0.0.1", 2), it.HostState.READY, 1.0)  # closes what is idle
-            assert not pools.idle and not pools.open
+            assert not pools.idle and not pools.open_connections
             await soon(world.hosts[0].closed.get())
 
     run(main())
@@ -135,11 +135,11 @@
 
     async def main() -> None:
         async with World(lambda words: served()) as world:
-            log, pools = Log(world), _many_pools(world, 3)
+            log, pools = EventLog(world), _many_pools(world, 3)
             pools.update_host(2, pools.pools[2].address, it.HostState.DRAINING, 0.0)
             pools.start(_attempt_at(world, 2))
             pools.return_waiting()
-            assert (await log.ended()).outcome is it.Outcome.MOOT
+            assert (await log.next_attempt_end()).outcome is it.Outcome.MOOT
             await asyncio.sleep(0)
             assert world.hosts[0].commands.empty()
 
--- a/tests/test_standing_hosts.py
+++ b/tests/test_standing_hosts.py
@@ -88,7 +88,7 @@
             for closing in (client, other):
                 closing.writer.close()
             await world.emptied()
-            assert _alive() <= before and not world.parts.pools.open
+            assert _alive() <= before and not world.parts.pools.open_connections
 
     run(main())
 
@@ -96,7 +96,7 @@
 def test_figures_that_drip_behind_a_value_do_not_hold_their_connection(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(host_connection, "STALL_S", 0.2)
+    monkeypatch.setattr(host_connection, "STALL_LIMIT_S", 0.2)
 
     async def main() -> None:
         async def drip(words: list[bytes]) -> bytes | None:
@@ -113,7 +113,7 @@
             assert await client.answer() == b"value"
             client.writer.close()
             await world.emptied()
-            assert not world.parts.pools.open
+            assert not world.parts.pools.open_connections
 
     run(main())
 
