--- a/rainturn/node/host_connection.py
+++ b/rainturn/node/host_connection.py
@@ -1,4 +1,4 @@
-"""One connection to a host. It carries one attempt at a time: the command out, then the answer back."""
+"""A connection to a host. It carries one attempt at a time: it sends the command, then reads the answer."""
 
 from __future__ import annotations
 
@@ -12,13 +12,13 @@
 from rainturn.node.requests import Attempt
 from rainturn.node.resp import LongValue, Outgoing, Spoilt, answer, end_sending, fields, pack, unsent
 
-STALL_LIMIT_S = 0.5  # time limit between two pieces of an answer that is kept whole
-VALUE_STALL_LIMIT_S = 4.0  # the same for a long value, which is passed on as it comes
-UPLOAD_STALL_LIMIT_S = 3.0  # how long a host may accept no byte of a request body that is passed on
+STALL_LIMIT_S = 0.5  # longest pause between two pieces of an answer that is buffered whole
+VALUE_STALL_LIMIT_S = 4.0  # longest pause between two pieces of a long value, which is streamed to the client
+UPLOAD_STALL_LIMIT_S = 3.0  # how long a host may accept no byte of a streamed request body
 
 
 class ConnectionOwner(Protocol):
-    """What a connection needs of the pool that it belongs to."""
+    """The part of a pool that its connections use."""
 
     @property
     def node(self) -> Node:
@@ -29,17 +29,20 @@
         """How long a connection may stay idle before it is closed."""
 
     def release(self, connection: HostConnection) -> None:
-        """Keep a connection that carries nothing any more as an idle one, or close it."""
+        """Keep a connection whose attempt has ended as an idle connection, or close it."""
 
     def remove(self, connection: HostConnection) -> None:
-        """Forget a connection that has closed."""
+        """Remove a closed connection from the pool."""
 
     def close_idle_before(self, time: float) -> None:
         """Close the idle connections that received their last bytes before `time` (Unix time in ms)."""
 
 
 def encode_command(attempt: Attempt, now: float) -> bytes:
-    """The client's command with `d` set to the time that is left, in ms; without a body that is passed on."""
+    """Encode the client's command with `d` set to the remaining time in ms.
+
+    If the body is streamed, the result ends with the head of its bulk string.
+    """
     request = attempt.request
     time_left_ms = max(1, int(min(attempt.deadline - now, request.time_limit_ms)))
     fields_sent = b"%sd=%d%s" % (request.fields_before, time_left_ms, request.fields_after)
@@ -50,39 +53,39 @@
 
 
 class HostConnection(Outgoing):
-    """One connection to a host."""
+    """A connection to a host, owned by a pool."""
 
     def __init__(self, pool: ConnectionOwner, address: tuple[str, int]) -> None:
         super().__init__()
         self.pool, self.address = pool, address
         self.attempt: Attempt | None = None
-        self.idle_since = pool.node.clock.now()  # the end of its last answer, or of its connect
-        self.poll = select.poll()  # shows bytes that the loop has not read yet
-        self.stall_timer: asyncio.TimerHandle | None = None  # set while the host has to send or accept bytes
-        self.uploading = False  # whether the body that follows the command is incomplete
-        self.upload_backlog = 0  # bytes that the host had not accepted at the last check
-        self.value_bytes_left: int | None = None  # of a long value whose head has come
-        self.fields_after_value = 0  # how many fields follow that value
-        self.fields_expected: int | None = None  # how many follow the value that has come whole
-        self.reading_paused = False  # because the client does not accept what was passed on
+        self.idle_since = pool.node.clock.now()  # when its last answer ended, or when it was connected
+        self.input_poll = select.poll()  # detects input that the event loop has not read yet
+        self.stall_timer: asyncio.TimerHandle | None = None  # runs while the host has to send or accept bytes
+        self.uploading = False  # whether part of a streamed body still has to be sent
+        self.upload_backlog = 0  # unsent bytes at the last check
+        self.value_bytes_left: int | None = None  # remaining bytes of a streamed value
+        self.fields_after_value = 0  # number of fields that follow the streamed value
+        self.fields_expected: int | None = None  # number of fields after a complete value
+        self.reading_paused = False  # whether reading waits for the client to accept more of a value
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Watch the socket for input that the loop has not read yet."""
+        """Register the socket for the check for unread input in `is_usable`."""
         super().connection_made(transport)
-        self.poll.register(transport.get_extra_info("socket").fileno(), select.POLLIN)
+        self.input_poll.register(transport.get_extra_info("socket").fileno(), select.POLLIN)
 
     def is_usable(self, now: float) -> bool:
-        """Whether an idle connection may carry an attempt: within its idle limit, and with no input on it.
+        """Whether an idle connection is within its idle limit and has no unread input.
 
-        Guards against a request that crosses the host's close, and against an answer that nobody asked for
-        being taken for the next request's.
+        This guards against two faults: the host closes the connection while a request is on its way, and an
+        unsolicited answer is taken for the answer to the next request.
         """
-        return now - self.idle_since <= self.pool.idle_limit_ms and not self.poll.poll(0)
+        return now - self.idle_since <= self.pool.idle_limit_ms and not self.input_poll.poll(0)
 
     # Sending.
 
     def send_command(self, attempt: Attempt, now: float) -> None:
-        """Write an attempt's command."""
+        """Send an attempt's command, and attach the connection to a streamed body."""
         self.attempt, attempt.connection = attempt, self
         body = attempt.request.body
         self.uploading = body is not None
@@ -98,7 +101,10 @@
             self.transport.write(data)
 
     def complete(self) -> None:
-        """End the command after its body; the attempt's time counts from here, as the host has it whole."""
+        """End the command after its body.
+
+        The attempt's time starts here, because only now the host has the whole command.
+        """
         if self.closed or self.attempt is None:
             return
         self.uploading = False
@@ -111,7 +117,7 @@
             self.pool.node.counters.upstream_tries += 1
 
     def pause_writing(self) -> None:
-        """Bytes wait to be sent; give up a host that accepts none of a body for too long."""
+        """Note that bytes wait to be sent, and start the check for a host that accepts no more of a body."""
         super().pause_writing()
         if self.uploading:
             self._check_upload(first=True)
@@ -119,12 +125,12 @@
     def _check_upload(self, first: bool = False) -> None:
         backlog = unsent(self.transport)
         if not first and backlog >= self.upload_backlog:
-            return self.close(it.Outcome.UNREACHABLE)  # the command stays incomplete: it never runs
+            return self.close(it.Outcome.UNREACHABLE)  # an incomplete command never runs
         self.upload_backlog = backlog
         self._set_stall_timer(UPLOAD_STALL_LIMIT_S, self._check_upload)
 
     def resume_writing(self) -> None:
-        """All bytes that we have of the command have been sent."""
+        """Note that all available bytes of the command have been sent, and ask the body for more."""
         super().resume_writing()
         if self.closed or self.attempt is None:
             return
@@ -137,7 +143,7 @@
     # Receiving.
 
     def data_received(self, data: bytes) -> None:
-        """Take an answer once it is whole; pass a long value on as it comes."""
+        """Buffer an answer until it is complete; stream a long value to the client as it arrives."""
         if self.closed:
             return
         if self.value_bytes_left is not None:
@@ -147,7 +153,7 @@
             return self._finish_answer()
         attempt = self.attempt
         if attempt is None:
-            return self.close()  # an answer that nobody asked for
+            return self.close()  # an unsolicited answer
         try:
             reply = answer(self.buffer)
         except Spoilt:
@@ -158,22 +164,23 @@
             return self._begin_value(attempt, reply)
         outcome, value = it.Outcome.OK, reply.value
         if value is None:
-            # Only this very word says that nothing ran; one like BUSYKEY does not.
+            # Only the exact word BUSY says that nothing ran; a word like BUSYKEY does not.
             refused = reply.error.split(b" ", 1)[0] == b"BUSY"
             outcome, value = it.Outcome.FULL if refused else it.Outcome.ERROR, b""
-        self._answered(attempt, outcome, value, reply.fields, self.buffer[reply.end :])
+        self._end_attempt(attempt, outcome, value, reply.fields, self.buffer[reply.end :])
 
     def _begin_value(self, attempt: Attempt, value: LongValue) -> None:
         data, self.buffer = self.buffer[value.start :], b""
         self.value_bytes_left, self.fields_after_value = value.length, value.fields
         if not self.pool.node.value_began(attempt, value.length, self):
-            return self.close(it.Outcome.CANCELLED)  # its request has ended
+            return self.close(it.Outcome.CANCELLED)  # the request has ended
         self._forward_value(data)
 
     def _forward_value(self, data: bytes) -> None:
-        """Pass a piece of the value to the client, and pause reading until the client can accept the next.
+        """Send a piece of the value to the client, and pause reading until the client accepts the next piece.
 
-        The two bytes after a value show whether its length was true, so its end is reported after them.
+        The CRLF after a value shows whether its announced length was correct, so the attempt ends only once
+        the CRLF has arrived.
         """
         attempt = self.attempt
         if attempt is None or self.value_bytes_left is None:
@@ -191,7 +198,9 @@
                 return self.fail()
             if len(self.buffer) >= 2:
                 self.value_bytes_left = None
-                return self._answered(attempt, it.Outcome.OK, b"", self.fields_after_value, self.buffer[2:])
+                return self._end_attempt(
+                    attempt, it.Outcome.OK, b"", self.fields_after_value, self.buffer[2:]
+                )
         elif not request.client.accepts_piece(request):
             self.reading_paused = True
             self.transport.pause_reading()
@@ -199,21 +208,21 @@
         self._set_stall_timer(VALUE_STALL_LIMIT_S, self.fail)
 
     def resume_value(self) -> None:
-        """Read on: the client accepts more."""
+        """Continue to read a streamed value once the client accepts more."""
         if self.reading_paused and not self.closed:
             self.reading_paused = False
             self._set_stall_timer(VALUE_STALL_LIMIT_S, self.fail)
             self.transport.resume_reading()
 
-    def _answered(
-        self, attempt: Attempt, outcome: it.Outcome, value: bytes, field_count: int, rest: bytes
+    def _end_attempt(
+        self, attempt: Attempt, outcome: it.Outcome, value: bytes, field_count: int, remainder: bytes
     ) -> None:
-        """End the attempt; the connection is free again once the fields after the value have come."""
+        """End the attempt. The connection becomes idle once the fields after the value have arrived."""
         self._cancel_stall_timer()
         self.attempt = attempt.connection = None
-        self.fields_expected, self.buffer = field_count, rest
+        self.fields_expected, self.buffer = field_count, remainder
         if self.uploading:
-            self.close()  # answered before it was read: the rest of the body would be taken for a command
+            self.close()  # the host answered early and would take the rest of the body for a command
         else:
             self._finish_answer()
         node = self.pool.node
@@ -224,13 +233,13 @@
     def _finish_answer(self) -> None:
         complete = fields(self.buffer, 0, self.fields_expected or 0)
         if complete is None:
-            # One limit for all fields together: nobody waits for them, and a few bytes now and then would
-            # hold the connection for good.
+            # One time limit covers all fields: no request waits for them, and a limit per piece would let a
+            # host that sends a few bytes now and then occupy the connection forever.
             if self.stall_timer is None:
                 self._set_stall_timer(STALL_LIMIT_S, self.close)
             return
         if not complete:
-            # Guards against taking bytes that follow a good answer for the answer to the next request.
+            # Bytes that follow a valid answer must not be taken for the answer to the next request.
             return self.close()
         self._cancel_stall_timer()
         self.fields_expected, self.buffer = None, b""
@@ -238,15 +247,16 @@
         self.pool.release(self)
 
     def fail(self) -> None:
-        """Give up on an answer that is malformed, or that has stopped coming; its request may have run.
+        """Close the connection because its answer is malformed or has stalled. The request may have run.
 
-        Guards against waiting for the rest until the deadline. To the module it is an error of a host that is
-        up, not a reset: malformed answers come from any host and must not make hosts suspect.
+        This guards against waiting for the rest until the deadline. The decision module gets ERROR,
+        which means a host that is up, and not RESET: any host may send a malformed answer, and that must not
+        make it suspect.
         """
         self.close(it.Outcome.ERROR)
 
     def _set_stall_timer(self, limit_s: float, on_stall: Callable[[], None]) -> None:
-        """Call `on_stall` after so long, in place of an earlier timer; the next progress cancels it."""
+        """Call `on_stall` after `limit_s` seconds unless progress cancels it; replaces an earlier timer."""
         self._cancel_stall_timer()
         self.stall_timer = self.pool.node.loop.call_later(limit_s, on_stall)
 
@@ -256,14 +266,18 @@
             self.stall_timer = None
 
     def close(self, outcome: it.Outcome | None = None) -> None:
-        """Close at once and drop what is unsent; an attempt on it ends as `outcome`, or without a report."""
+        """Close at once and discard unsent bytes.
+
+        An open attempt ends with `outcome`; without an outcome its end is not reported.
+        """
         if self.closed:
             return
         self.closed, self.buffer = True, b""
         self._cancel_stall_timer()
         attempt, self.attempt = self.attempt, None
         if attempt is not None:
-            # Guards against a second copy: a repeat is sent before the loop has closed this connection.
+            # The event loop closes the socket only in its next turn, and a repeat may be sent before that.
+            # This guards against two copies of a request being open at hosts at the same time.
             end_sending(self.transport)
         self.transport.abort()
         self.pool.remove(self)
@@ -275,9 +289,9 @@
                 self.pool.node.attempt_ended(attempt, outcome)
 
     def eof_received(self) -> None:
-        """The host has closed its side: no answer will come."""
+        """Treat a close by the host as a lost connection: no answer will come."""
         self.connection_lost(None)
 
     def connection_lost(self, error: Exception | None) -> None:
-        """A break proves that nothing ran only if the request's last byte had not been sent."""
+        """Close. A break proves that the request did not run only if its last byte had not been sent."""
         self.close(it.Outcome.UNREACHABLE if self.unsent or self.uploading else it.Outcome.RESET)
