--- a/rainturn/node/host_connection.py
+++ b/rainturn/node/host_connection.py
@@ -29,7 +29,7 @@
         """How long a connection may stay idle before it is closed."""
 
     def release(self, connection: HostConnection) -> None:
-        """Keep a connection whose attempt has ended as an idle connection, or close it."""
+        """Keep a connection without an attempt as idle if it may be reused; otherwise close it."""
 
     def remove(self, connection: HostConnection) -> None:
         """Remove a closed connection from the pool."""
--- a/rainturn/node/host_pools.py
+++ b/rainturn/node/host_pools.py
@@ -1,4 +1,4 @@
-"""The connections to each host, the attempts that wait for one, and the limit on all connections."""
+"""Connection pools for the hosts, attempts that wait for a connection, and the limit on all connections."""
 
 from __future__ import annotations
 
@@ -13,18 +13,18 @@
 from rainturn.node.requests import Attempt
 from rainturn.node.system_errors import OwnShortage, connect
 
-REUSE_DELAY_MS = (
-    10.0  # idle time before a connection is used again: a host's second answer comes some ms late
-)
-IDLE_LIMIT_FRACTION = 0.7  # of the hosts' own idle limit: a request must not cross their close
+# Idle time before a connection is reused: an unwanted second answer of a host arrives a few ms late.
+REUSE_DELAY_MS = 10.0
+# Part of the hosts' own idle limit, so that no request is under way when a host closes an idle connection.
+IDLE_LIMIT_FRACTION = 0.7
 NO_ADDRESS = ("", 0)
 
 
 class HostPool:
-    """The connections to one host and the attempts that wait for one.
+    """The connections to one host and the attempts that wait for a connection.
 
-    One gateway sends to a few of many hosts: until the first attempt for a host its pool is as small as it
-    can be, and its containers are one shared, immutable, empty value.
+    A gateway sends to only a few of many hosts. To save memory, the containers of a pool are a shared empty
+    tuple until the first attempt at its host.
     """
 
     __slots__ = (
@@ -46,19 +46,18 @@
     def __init__(self, pools: HostPools, number: int, name: str) -> None:
         self.pools, self.number, self.name = pools, number, name
         self.address, self.started = NO_ADDRESS, 0.0
-        self.leaving = False  # whether the list says that the host drains or is gone
+        self.leaving = False  # whether the host list says that the host is draining or gone
         self.gone = False
-        self.idle = cast("deque[HostConnection]", ())  # most recently used last
+        self.idle = cast("deque[HostConnection]", ())  # the most recently used connection is last
         self.connections = cast("set[HostConnection]", ())
         self.connecting = 0
         self.waiting = cast("deque[Attempt]", ())
-        self.idle_timer: asyncio.TimerHandle | None = None  # for the close of the oldest idle connection
-        self.reuse_timer: asyncio.TimerHandle | None = (
-            None  # set while attempts wait for REUSE_DELAY_MS to pass
-        )
+        self.idle_timer: asyncio.TimerHandle | None = None  # closes the oldest idle connection
+        # Set while attempts wait until an idle connection is older than REUSE_DELAY_MS.
+        self.reuse_timer: asyncio.TimerHandle | None = None
 
     def _allocate(self) -> None:
-        """Give the pool containers of its own."""
+        """Replace the shared empty containers by new ones."""
         if not isinstance(self.connections, set):
             self.idle, self.connections, self.waiting = deque(), set(), deque()
 
@@ -73,7 +72,7 @@
         return self.pools.idle_limit_ms
 
     def start(self, attempt: Attempt) -> None:
-        """Use an idle connection, or open one."""
+        """Send an attempt on an idle connection, or open a connection for it."""
         self._allocate()
         self.waiting.append(attempt)
         if self.leaving:
@@ -81,13 +80,16 @@
         self._serve_waiting()
 
     def _serve_waiting(self) -> None:
-        """Use idle connections for what waits, and open one if too few are being opened."""
-        self._use_idle()
+        """Send waiting attempts on idle connections, and open a connection if too few are being opened."""
+        self._send_on_idle()
         if self.connecting < len(self.waiting):
-            self._open()
+            self._open_connection()
 
-    def _use_idle(self) -> None:
-        """Use the most recently used first, but none that may yet get a second answer to its last command."""
+    def _send_on_idle(self) -> None:
+        """Send waiting attempts on idle connections, the most recently used first.
+
+        Connections that may still get a second answer to their last command are left out.
+        """
         now = self.node.clock.now()
         while self.waiting:
             found = next((c for c in reversed(self.idle) if now - c.idle_since >= REUSE_DELAY_MS), None)
@@ -96,47 +98,48 @@
             self._remove_idle(found)
             if not found.is_usable(now):
                 found.close()
-            elif not self._begin(found, self.waiting.popleft()):
+            elif not self._try_send(found, self.waiting.popleft()):
                 self.release(found)
 
     def _on_reuse_timer(self) -> None:
         self.reuse_timer = None
         self._serve_waiting()
 
-    def _begin(self, connection: HostConnection, attempt: Attempt) -> bool:
-        """Write an attempt, unless it has become pointless while it waited for a connection."""
+    def _try_send(self, connection: HostConnection, attempt: Attempt) -> bool:
+        """Send an attempt unless it became pointless while it waited; returns whether it was sent."""
         node, now = self.node, self.node.clock.now()
         request = attempt.request
         if request.done or self.leaving or now > attempt.begin_by or not request.client.is_connected():
-            # Guards against a connect that comes up late: the request may have ended meanwhile (rule 1), its
-            # key may be forgotten (rule 2) or the host may leave by now (rule 3). Nothing was written or ran.
-            # And against a client whose end is not read yet, as it is not read from or the loop was late.
+            # Guards against a connection that comes up late: the request may have ended (rule 1), the hosts
+            # may have forgotten its key (rule 2), or the host may have begun to leave (rule 3). Also guards
+            # against a client that has left while the gateway has not read that yet, because reading is
+            # paused or the event loop was late. Nothing was sent, so nothing ran.
             node.attempt_ended(attempt, it.Outcome.MOOT)
             return False
         connection.send_command(attempt, now)
         return True
 
-    def _open(self) -> None:
+    def _open_connection(self) -> None:
         if not self.pools.make_room():
-            # Not sent for a shortage of our own: to call the host unreachable would make a well one suspect.
+            # The gateway's own limit prevents the connect. UNREACHABLE would make a healthy host suspect.
             self.node.attempt_ended(self.waiting.pop(), it.Outcome.MOOT)
             return
         self.connecting += 1
         self.pools.connecting += 1
         task = self.node.loop.create_task(self._connect())
-        self.pools.tasks.add(task)  # the loop holds tasks only weakly
+        self.pools.tasks.add(task)  # the event loop holds only weak references to tasks
         task.add_done_callback(self.pools.tasks.discard)
 
     async def _connect(self) -> None:
         node = self.node
         connection: HostConnection | None = None
         failure = it.Outcome.UNREACHABLE
-        address = self.address  # as it is now: the list may move the host before the connect comes up
+        address = self.address  # a copy: the host list may change the address before the connect completes
         limit_s = node.settings.limits.connect_timeout_ms / 1000
         try:
             connection = await connect(node.loop, lambda: HostConnection(self, address), address, limit_s)
         except OwnShortage:
-            failure = it.Outcome.MOOT  # to call the host unreachable would make a well one suspect
+            failure = it.Outcome.MOOT  # UNREACHABLE would make a healthy host suspect
         except (OSError, ValueError):
             pass
         finally:
@@ -144,30 +147,31 @@
             self.pools.connecting -= 1
         if connection is not None and not connection.closed:
             return self.add_connection(connection)
-        self._use_idle()
+        self._send_on_idle()
         if self.connecting < len(self.waiting):
             if not self.idle:
                 node.attempt_ended(self.waiting.popleft(), failure)
-            elif self.reuse_timer is None:  # the host may accept no more, and an idle one is usable soon
+            elif self.reuse_timer is None:
+                # The host may accept no more connections, but an idle one can be reused soon.
                 self.reuse_timer = node.loop.call_later(REUSE_DELAY_MS / 1000, self._on_reuse_timer)
         self.forget_if_unused()
 
     def add_connection(self, connection: HostConnection) -> None:
-        """Give a new connection to the attempt that has waited longest, or keep it as an idle one."""
+        """Use a new connection for the attempt that has waited longest, or keep it as an idle connection."""
         self._allocate()
         self.connections.add(connection)
         self.pools.open_connections += 1
         if connection.address != self.address:
-            # Guards against a connect that was under way when the list moved the host.
+            # Guards against a connect that was under way when the host list changed the host's address.
             connection.close()
             return self._serve_waiting()
         while self.waiting and not connection.closed:
-            if self._begin(connection, self.waiting.popleft()):
+            if self._try_send(connection, self.waiting.popleft()):
                 return
         self.release(connection)
 
     def release(self, connection: HostConnection) -> None:
-        """Keep a connection that carries nothing as an idle one, if it may be used again; else close it."""
+        """Keep a connection without an attempt as idle if it may be reused; otherwise close it."""
         moved = connection.address != self.address
         if self.leaving or moved or connection.closed or self.pools.closing:
             return connection.close()
@@ -177,7 +181,7 @@
             self.idle_timer = self.node.loop.call_later(self.idle_limit_ms / 1000, self._close_expired)
 
     def _close_expired(self) -> None:
-        """Close the connections that reached the idle limit, and set the timer for the next one."""
+        """Close the connections that have reached the idle limit, and set the timer for the next one."""
         now = self.node.clock.now()
         self.idle_timer = None
         while self.idle and now - self.idle[0].idle_since >= self.idle_limit_ms - 1:
@@ -194,15 +198,15 @@
     def close_idle_before(self, time: float) -> None:
         """Close the idle connections that received their last bytes before `time` (Unix time in ms).
 
-        Called with the time at which an attempt was sent that got no answer. Guards against a machine that
-        vanished: its connections stay open and swallow one attempt each, which then may have run; a new
-        connect that fails proves that nothing did.
+        The caller passes the time at which an attempt that got no answer was sent. This guards against a
+        machine that vanished: each of its connections stays open and could take one more attempt, which then
+        may have run. A new connect that fails proves that the attempt did not run.
         """
         while self.idle and self.idle[0].idle_since < time:
             self.idle[0].close()
 
     def remove(self, connection: HostConnection) -> None:
-        """Forget a connection that has closed."""
+        """Remove a closed connection from the pool."""
         if connection in self.connections:
             self.connections.discard(connection)
             self.pools.open_connections -= 1
@@ -215,27 +219,30 @@
         del self.pools.idle[connection]
 
     def forget_if_unused(self) -> None:
-        """Forget a host that is gone once nothing is left with it: hosts are replaced by new ones all day."""
+        """Remove the pool of a host that is gone once it has no connections and no attempts.
+
+        Hosts are replaced all day, so kept pools would accumulate.
+        """
         if self.gone and not (self.connections or self.connecting or self.waiting):
             self.pools.forget(self)
 
 
 class HostPools:
-    """The pools of all hosts by the module's numbers, and the limit on their connections."""
+    """The pools of all hosts, by the decision module's host numbers, and the limit on their connections."""
 
     def __init__(self, node: Node, idle_limit_ms: float, max_connections: int) -> None:
         self.node, self.max_connections = node, max_connections
         self.idle_limit_ms = idle_limit_ms * IDLE_LIMIT_FRACTION
         self.pools: dict[int, HostPool] = {}
-        self.idle: OrderedDict[HostConnection, None] = OrderedDict()  # of all pools, the oldest first
-        self.pools_to_return: set[HostPool] = set()  # those in which attempts wait for a host that leaves
+        self.idle: OrderedDict[HostConnection, None] = OrderedDict()  # of all pools, the oldest is first
+        self.pools_to_return: set[HostPool] = set()  # pools in which attempts wait for a leaving host
         self.open_connections = self.connecting = 0
-        self.closing = False  # whether connections close when their attempt ends
+        self.closing = False  # whether connections are closed when their attempt ends
         self.tasks: set[asyncio.Task[None]] = set()
         self.on_forgotten: Callable[[str], None] = lambda name: None  # called with a forgotten host's name
 
     def forget(self, pool: HostPool) -> None:
-        """Drop all that is kept of a host."""
+        """Remove the pool of a host, and call `on_forgotten` with its name."""
         if self.pools.get(pool.number) is pool:
             if pool.idle_timer is not None:
                 pool.idle_timer.cancel()
@@ -243,12 +250,15 @@
             self.on_forgotten(pool.name)
 
     def add(self, host: int, name: str) -> None:
-        """Make the pool of a host that has none."""
+        """Create the pool of a host if it has none."""
         if host not in self.pools:
             self.pools[host] = HostPool(self, host, name)
 
     def update_host(self, host: int, address: tuple[str, int], state: it.HostState, started: float) -> None:
-        """Follow the host list: close the idle connections of a host that moved, restarted or leaves."""
+        """Apply an entry of the host list; `started` is the start time of the host (Unix time in ms).
+
+        The idle connections of a host whose address changed, or that restarted or is leaving, are closed.
+        """
         pool, ready = self.pools[host], state is it.HostState.READY
         if pool.address != address or started != pool.started or not ready:
             pool.address, pool.started = address, started
@@ -260,10 +270,11 @@
         pool.forget_if_unused()
 
     def return_waiting(self) -> None:
-        """Return what still waits for hosts that leave to the module, which has had the list by now.
+        """End the attempts that wait for leaving hosts as MOOT, so that the decision module decides again.
 
-        Nobody here may know when their drain was announced, and so how long the grace lasts: the agent may
-        have had the news for a while. Nothing new goes to them at all.
+        Call it after the decision module has received the list. The pools don't know when a drain was
+        announced, and so not how long the grace lasts, because the discovery agent may have had the entry for
+        a while. Therefore no new attempt is sent to a leaving host.
         """
         pools = sorted(self.pools_to_return, key=lambda pool: pool.number)
         self.pools_to_return.clear()
@@ -273,19 +284,22 @@
             pool.forget_if_unused()
 
     def close_idle(self) -> None:
-        """Close all idle connections, and from now on each one when its attempt ends."""
+        """Close all idle connections, and from now on each connection when its attempt ends."""
         self.closing = True
         while self.idle:
             next(iter(self.idle)).close()
 
     def start(self, attempt: Attempt) -> None:
-        """Begin an attempt."""
+        """Send an attempt to its host, as soon as a connection is available."""
         if (pool := self.pools.get(attempt.host)) is None:
             return self.node.attempt_ended(attempt, it.Outcome.UNREACHABLE)
         pool.start(attempt)
 
     def drop(self, attempt: Attempt) -> None:
-        """Give an attempt up. Its connection closes: a later answer would be taken for another attempt's."""
+        """Stop waiting for an attempt.
+
+        Its connection is closed, because a late answer would be taken for the answer to another attempt.
+        """
         connection, pool = attempt.connection, self.pools.get(attempt.host)
         if isinstance(connection, HostConnection):
             connection.close()
@@ -295,7 +309,7 @@
             pool.forget_if_unused()
 
     def make_room(self) -> bool:
-        """Whether the limit allows one more connection, after closing the oldest idle one if it must."""
+        """Whether the limit allows one more connection; closes the oldest idle connection if necessary."""
         if self.open_connections + self.connecting < self.max_connections:
             return True
         if not self.idle:
--- a/tests/test_node_hosts.py
+++ b/tests/test_node_hosts.py
@@ -303,7 +303,7 @@
             for pool in pools.values():
                 servers.append(await loop.create_server(lambda: First(asked, first), "127.0.0.1", 0))
                 pool.address = servers[-1].sockets[0].getsockname()
-                pool._open()  # one to each rests, so that nothing has to be opened later
+                pool._open_connection()  # one to each rests, so that nothing has to be opened later
             while not all(pool.idle for pool in pools.values()):
                 await asyncio.sleep(0)
             client = await world.client()
