--- a/tests/test_audit_hosts.py
+++ b/tests/test_audit_hosts.py
@@ -1,4 +1,4 @@
-"""Clauses on hosts at their limits: addresses that change under a request."""
+"""Rules for hosts whose address changes while a request is open."""
 
 from __future__ import annotations
 
@@ -7,8 +7,8 @@
 from tests.sockets import Held, Peer, World, entry, run, served, soon
 
 
-def test_a_connection_to_where_a_host_was_is_not_used_again() -> None:
-    """The list moves the host while a request is out at its old address; the next one goes to the new."""
+def test_a_connection_to_the_old_address_of_a_host_is_not_reused() -> None:
+    """The list changes the address while a request is open at the old one; the next uses the new one."""
 
     async def main() -> None:
         held = Held()
@@ -17,11 +17,11 @@
             client = await world.client()
             client.ask(b"1")
             await soon(world.hosts[0].commands.get())
-            news = {"seq": 2, "whole": False, "hosts": [entry("h0", moved.dial)]}
-            world.parts.discovery.apply(news)
+            update = {"seq": 2, "whole": False, "hosts": [entry("h0", moved.dial)]}
+            world.parts.discovery.apply(update)
             held.released.set()
             assert await client.answer() == b"value"
-            await asyncio.sleep(0.05)  # a connection may be used again some milliseconds after an answer
+            await asyncio.sleep(0.05)  # a connection may be reused some milliseconds after an answer
             client.ask(b"2")
             assert await client.answer() == b"new"
             assert world.hosts[0].commands.empty()
--- a/tests/test_audit_repeats.py
+++ b/tests/test_audit_repeats.py
@@ -1,4 +1,4 @@
-"""Clauses on repeats: a refusal promises that a new try is harmless, and a window has room for a delay."""
+"""Rules for repeats: a refusal promises that another try is harmless, and a repeat leaves time for delays."""
 
 from __future__ import annotations
 
@@ -9,11 +9,11 @@
 from tests.helpers import KEYED, SAFE, Drive, of, settings
 from tests.sockets import WIRE, Peer, World, run, served
 
-HELD_UP_MS = 150.0  # a gateway may be held up for so long between reading its clock and writing
+MAX_DELAY_MS = 150.0  # the longest delay of a gateway between reading its clock and sending
 
 
-def test_a_refusal_is_given_only_while_hosts_still_drop_the_repeat() -> None:
-    """The first attempt may have run; a client that comes again now would be served a second time."""
+def test_a_refusal_is_sent_only_while_hosts_still_drop_a_repeat() -> None:
+    """The first attempt may have run; a client that tries again after the window is served a second time."""
 
     async def main() -> None:
         classes = [one | {"window_ms": 300, "group": "all"} for one in WIRE["classes"]]
@@ -30,20 +30,20 @@
     run(main())
 
 
-def test_no_repeat_begins_so_late_that_a_delay_carries_it_over_the_window() -> None:
+def test_no_repeat_begins_so_late_that_a_delay_moves_it_beyond_the_window() -> None:
     keyed = replace(KEYED, group=it.Group.ALL, window_ms=1000)
-    for age, repeats in ((100.0, 1), (1000.0 - HELD_UP_MS, 0)):
+    for age, repeats in ((100.0, 1), (1000.0 - MAX_DELAY_MS, 0)):
         drive = Drive(settings(classes=(SAFE, keyed), plans=(it.Plan(price=1, rate=0, burst=0),)))
         _, actions = drive.arrive(kind=1)
         (send,) = of(actions, it.Send)
         drive.now += age
-        again = of(drive.end(send, it.Outcome.RESET, elapsed=age), it.Send)
-        assert len(again) == repeats
-        assert all(age + one.within <= keyed.window_ms - HELD_UP_MS for one in again)
+        repeated = of(drive.end(send, it.Outcome.RESET, elapsed=age), it.Send)
+        assert len(repeated) == repeats
+        assert all(age + one.within <= keyed.window_ms - MAX_DELAY_MS for one in repeated)
 
 
-def test_a_refusal_that_waits_for_its_turn_beyond_the_window_is_an_error() -> None:
-    """It was harmless when it was decided; the client hears it only behind the answer before it."""
+def test_a_refusal_that_waits_behind_another_answer_beyond_the_window_becomes_an_error() -> None:
+    """Another try was harmless when the refusal was decided, but the refusal waits for the earlier answer."""
 
     async def main() -> None:
         classes = [one | {"window_ms": 600, "group": "all"} for one in WIRE["classes"]]
--- a/tests/test_node_hosts.py
+++ b/tests/test_node_hosts.py
@@ -1,4 +1,4 @@
-"""The node's attempts at hosts: what never ran, what may have, and connections."""
+"""Attempts at hosts: which ones may have run, and how connections are opened, reused and closed."""
 
 from __future__ import annotations
 
@@ -17,19 +17,20 @@
 
 
 class EventLog:
-    """Keeps the events that the module is given, and lets a test wait for one."""
+    """Records the events that the decision module receives, so that a test can wait for one."""
 
     def __init__(self, world: World) -> None:
         self.events: asyncio.Queue[it.Event] = asyncio.Queue()
         self.seen: list[it.Event] = []
-        self.handle = world.parts.node.module.handle
-        world.parts.node.module.handle = self._spy  # type: ignore[method-assign]
+        self.original_handle = world.parts.node.module.handle
+        world.parts.node.module.handle = self._record  # type: ignore[method-assign]
 
-    def _spy(self, now: float, event: it.Event) -> list[it.Action]:
+    def _record(self, now: float, event: it.Event) -> list[it.Action]:
         self.events.put_nowait(event)
-        return self.handle(now, event)
+        return self.original_handle(now, event)
 
-    async def next_attempt_end(self) -> it.AttemptEnded:
+    async def next_end(self) -> it.AttemptEnded:
+        """Wait for the next end of an attempt."""
         while True:
             event = await soon(self.events.get())
             self.seen.append(event)
@@ -37,8 +38,8 @@
                 return event
 
 
-class NoClient:
-    """Takes answers that no test looks at."""
+class DiscardingClient:
+    """A client whose answers no test checks."""
 
     def is_connected(self) -> bool:
         return True
@@ -62,13 +63,13 @@
 
 
 def add_attempt(world: World) -> Attempt:
-    """An attempt of a request that the module does not know, at the first host."""
+    """Make an attempt at the first host, of a request that the decision module does not know."""
     node = world.parts.node
     now = node.clock.now()
     node.serial += 1
     arrival = it.Arrived(node.serial, now + 3000, 1, 0, 0)
     words = [b"API.READ", b"0" * 16, b"1", b""]
-    request = Request(arrival, now + 3000, words, b"c=read,", b"", NoClient(), 9)
+    request = Request(arrival, now + 3000, words, b"c=read,", b"", DiscardingClient(), 9)
     node.requests[request.number] = request
     attempt = Attempt(request, 0, 1, now, now + 3000)
     request.attempts.append(attempt)
@@ -77,8 +78,11 @@
     return attempt
 
 
-def _first(answers: dict[bytes, bytes | None], then: bytes) -> Any:
-    """A handler for several hosts: the first command of each id gets its answer, others `then`."""
+def _answer_first_by_id(answers: dict[bytes, bytes | None], then: bytes) -> Any:
+    """Make a handler that several hosts can share.
+
+    The first command with an id gets that id's answer of `answers`; all later commands get `then`.
+    """
     seen: list[bytes] = []
 
     def handler(words: list[bytes]) -> bytes | None:
@@ -90,36 +94,36 @@
 
 def test_busy_proves_that_an_attempt_never_ran_and_an_error_does_not() -> None:
     async def main() -> None:
-        handler = _first({b"1": b"-BUSY\r\n", b"2": b"-ERR failed\r\n"}, served())
+        handler = _answer_first_by_id({b"1": b"-BUSY\r\n", b"2": b"-ERR failed\r\n"}, served())
         async with World(handler, handler) as world:
             log, client = EventLog(world), await world.client()
             client.ask(b"1", b"pay", body=b"x")
-            assert await client.answer() == b"value"  # sent again, as it never ran
-            ends = [await log.next_attempt_end(), await log.next_attempt_end()]
+            assert await client.answer() == b"value"  # repeated, because it did not run
+            ends = [await log.next_end(), await log.next_end()]
             assert [(e.attempt, e.outcome, e.final) for e in ends] == [
                 (0, it.Outcome.FULL, False),
                 (1, it.Outcome.OK, True),
             ]
             client.ask(b"2", b"pay", body=b"x")
-            assert await client.answer() == "-ERR failed"  # it may have run: neither repeated nor refused
-            assert (await log.next_attempt_end()).outcome is it.Outcome.ERROR
+            assert await client.answer() == "-ERR failed"  # may have run: neither repeated nor refused
+            assert (await log.next_end()).outcome is it.Outcome.ERROR
 
     run(main())
 
 
-def test_a_break_after_the_last_byte_may_have_run_and_is_not_sent_again_silently() -> None:
+def test_a_request_whose_connection_breaks_after_its_last_byte_fails_without_a_repeat() -> None:
     async def main() -> None:
         async with World(lambda words: Peer.RESET) as world:
             log, client = EventLog(world), await world.client()
             client.ask(b"1", b"pay", body=b"x")
             assert await client.answer() == "-ERR failed"
-            assert (await log.next_attempt_end()).outcome is it.Outcome.RESET
+            assert (await log.next_end()).outcome is it.Outcome.RESET
             assert world.hosts[0].commands.qsize() == 1
 
     run(main())
 
 
-def test_a_break_before_the_last_byte_proves_that_nothing_ran() -> None:
+def test_a_connection_that_breaks_before_the_last_byte_ends_the_attempt_as_unreachable() -> None:
     async def main() -> None:
         async with World(lambda words: served()) as world:
             log = EventLog(world)
@@ -129,28 +133,28 @@
             pool = world.parts.pools.pools[1]
             pool.address = host.getsockname()
             attempt = add_attempt(world)
-            attempt.request.words.append(b"x" * (16 << 20))  # more than the buffers of the system take
+            attempt.request.words.append(b"x" * (16 << 20))  # more than the system's buffers hold
             pool.start(attempt)
             sock, _ = await soon(asyncio.get_running_loop().sock_accept(host))
             reader, writer = await asyncio.open_connection(sock=sock, limit=1024)
             await soon(reader.readexactly(10))
             assert attempt.connection is not None
             reset(writer)
-            assert (await log.next_attempt_end()).outcome is it.Outcome.UNREACHABLE
+            assert (await log.next_end()).outcome is it.Outcome.UNREACHABLE
             host.close()
 
     run(main())
 
 
-def test_a_refused_connection_never_ran() -> None:
+def test_a_refused_connect_ends_the_attempt_as_unreachable() -> None:
     async def main() -> None:
         async with World(lambda words: served()) as world:
             log, pool = EventLog(world), world.parts.pools.pools[1]
             with socket.socket() as closed:
-                closed.bind(("127.0.0.1", 0))  # bound, and not listening
+                closed.bind(("127.0.0.1", 0))  # bound but not listening
                 pool.address = closed.getsockname()
                 pool.start(add_attempt(world))
-                assert (await log.next_attempt_end()).outcome is it.Outcome.UNREACHABLE
+                assert (await log.next_end()).outcome is it.Outcome.UNREACHABLE
 
     run(main())
 
@@ -161,31 +165,31 @@
             lambda words: served(), wire={"limits": {"max_attempts": 6, "connect_timeout_ms": 50}}
         ) as world:
             log = EventLog(world)
-            deaf = socket.socket()
-            deaf.bind(("127.0.0.1", 0))
-            deaf.listen(0)
-            filling = [socket.socket() for _ in range(4)]  # with its backlog full, connects stay unanswered
-            for sock in filling:
+            unresponsive = socket.socket()
+            unresponsive.bind(("127.0.0.1", 0))
+            unresponsive.listen(0)
+            backlog = [socket.socket() for _ in range(4)]  # fill the backlog: later connects stay unanswered
+            for sock in backlog:
                 sock.setblocking(False)
-                sock.connect_ex(deaf.getsockname())
+                sock.connect_ex(unresponsive.getsockname())
             pool = world.parts.pools.pools[1]
-            pool.address = deaf.getsockname()
+            pool.address = unresponsive.getsockname()
             pool.start(add_attempt(world))
-            end = await log.next_attempt_end()
+            end = await log.next_end()
             assert end.outcome is it.Outcome.UNREACHABLE and end.elapsed >= 45
-            for sock in [deaf, *filling]:
+            for sock in [unresponsive, *backlog]:
                 sock.close()
 
     run(main())
 
 
-def test_nothing_is_written_for_a_request_that_ended_while_its_connect_was_under_way() -> None:
+def test_nothing_is_sent_for_a_request_that_ended_during_its_connect() -> None:
     async def main() -> None:
         async with World(lambda words: served()) as world:
             log, attempt = EventLog(world), add_attempt(world)
             world.parts.pools.start(attempt)
             world.parts.node.client_left(attempt.request)
-            assert (await log.next_attempt_end()).outcome is it.Outcome.MOOT
+            assert (await log.next_end()).outcome is it.Outcome.MOOT
             world.parts.pools.pools[1].close_idle()
             await soon(world.hosts[0].closed.get())
             assert world.hosts[0].commands.empty()
@@ -194,10 +198,13 @@
 
 
 @pytest.mark.parametrize("health", ["terminating", "terminated", "unnamed"])
-def test_nothing_is_written_to_a_host_whose_leaving_is_heard_of_while_its_connect_is_under_way(
+def test_nothing_is_sent_to_a_host_that_the_list_drains_or_drops_during_its_connect(
     health: str,
 ) -> None:
-    """The agent may have had the news for as long as the grace: that is not ours to use up."""
+    """The grace may be over already, because the discovery agent may have known of the drain for that long.
+
+    The request goes to the other host, and no host gets a failure.
+    """
 
     async def main() -> None:
         async with World(lambda words: served(b"leaves"), lambda words: served(b"stays")) as world:
@@ -212,38 +219,38 @@
             client.ask(b"1")
             while not held:
                 await asyncio.sleep(0)
-            leaves = 0 if held[0].host == 1 else 1
-            start(held[0])  # its connect is under way
+            leaving = 0 if held[0].host == 1 else 1
+            start(held[0])  # the connect is under way
             pools.start = start  # type: ignore[method-assign]
             hosts = [entry(f"h{n}", host.dial) for n, host in enumerate(world.hosts)]
             if health == "unnamed":
-                del hosts[leaves]
+                del hosts[leaving]
             else:
-                hosts[leaves]["health"] = health
+                hosts[leaving]["health"] = health
             discovery.apply({"seq": 2, "whole": True, "hosts": hosts})
-            assert await client.answer() == (b"stays" if leaves == 0 else b"leaves")
-            await soon(world.hosts[leaves].connected.get())
-            await soon(world.hosts[leaves].closed.get())
-            assert world.hosts[leaves].commands.empty()
+            assert await client.answer() == (b"stays" if leaving == 0 else b"leaves")
+            await soon(world.hosts[leaving].connected.get())
+            await soon(world.hosts[leaving].closed.get())
+            assert world.hosts[leaving].commands.empty()
             assert not any(host.failures for host in world.parts.node.module.hosts.values())
 
     run(main())
 
 
-def test_nothing_is_written_to_a_host_that_leaves_as_its_connection_comes_up() -> None:
+def test_nothing_is_sent_to_a_host_that_begins_to_leave_during_its_connect() -> None:
     async def main() -> None:
         async with World(lambda words: served()) as world:
             log, pool = EventLog(world), world.parts.pools.pools[1]
             world.parts.pools.start(add_attempt(world))
-            pool.leaving = True  # whatever made it so
-            assert (await log.next_attempt_end()).outcome is it.Outcome.MOOT
+            pool.leaving = True
+            assert (await log.next_end()).outcome is it.Outcome.MOOT
             await soon(world.hosts[0].closed.get())
             assert world.hosts[0].commands.empty()
 
     run(main())
 
 
-def test_a_cancelled_attempt_closes_its_connection_and_is_told_once() -> None:
+def test_a_cancelled_attempt_closes_its_connection_and_is_reported_once() -> None:
     async def main() -> None:
         async with World(lambda words: None) as world:
             log, attempt = EventLog(world), add_attempt(world)
@@ -253,57 +260,62 @@
             for _ in range(2):
                 node._cancel(it.Cancel(attempt.request.number, 0), node.clock.now())
             await soon(world.hosts[0].closed.get())
-            assert (await log.next_attempt_end()).outcome is it.Outcome.CANCELLED
+            assert (await log.next_end()).outcome is it.Outcome.CANCELLED
             assert log.events.empty()
 
     run(main())
 
 
-class First(asyncio.Protocol):
-    """Hosts of which the one that gets the first command answers oddly, or not at all."""
+class FirstAnswerServer(asyncio.Protocol):
+    """Hosts that give `first_answer` (None: no answer) to the first of all commands, and serve the others."""
 
-    def __init__(self, asked: list[socket.socket], first: bytes | None) -> None:
-        self.asked, self.first = asked, first
+    def __init__(self, asked: list[socket.socket], first_answer: bytes | None) -> None:
+        self.asked, self.first_answer = asked, first_answer
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport: Any = transport
 
     def eof_received(self) -> bool:
-        return True  # stays open at this side
+        return True  # keeps this side open
 
     def data_received(self, data: bytes) -> None:
-        answer = served() if self.asked else self.first
+        answer = served() if self.asked else self.first_answer
         self.asked.append(self.transport.get_extra_info("socket"))
         if answer is not None:
             self.transport.write(answer)
 
 
 @pytest.mark.parametrize("how", ["cancelled", "spoilt", "never ends"])
-def test_an_earlier_attempt_has_ended_on_its_connection_when_the_next_one_is_written(
+def test_the_connection_of_an_ended_attempt_is_shut_down_before_the_repeat_is_sent(
     how: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """The first one's other side is looked at just then: our loop closes a turn later than it writes."""
+    """Guards against two open copies of a request at hosts: the event loop closes a socket one turn late.
+
+    The test checks the host's side of the first connection at the moment when the repeat is sent.
+    """
     monkeypatch.setattr(host_connection, "STALL_LIMIT_S", 0.05)
-    first = {"cancelled": None, "spoilt": b"+OK\r\n", "never ends": b"*3\r\n$5\r\nval"}[how]
-    begin, asked, ended = host_connection.HostConnection.send_command, list[socket.socket](), list[bool]()
+    first_answer = {"cancelled": None, "spoilt": b"+OK\r\n", "never ends": b"*3\r\n$5\r\nval"}[how]
+    send, asked, shut_down = host_connection.HostConnection.send_command, list[socket.socket](), list[bool]()
 
-    def look(connection: host_connection.HostConnection, attempt: Attempt, now: float) -> None:
+    def check_and_send(connection: host_connection.HostConnection, attempt: Attempt, now: float) -> None:
         poll = select.poll()
         for other in asked:
             poll.register(other, select.POLLRDHUP)
-        ended.append(len(poll.poll(0)) == len(asked))
-        begin(connection, attempt, now)
+        shut_down.append(len(poll.poll(0)) == len(asked))
+        send(connection, attempt, now)
 
-    monkeypatch.setattr(host_connection.HostConnection, "send_command", look)
+    monkeypatch.setattr(host_connection.HostConnection, "send_command", check_and_send)
 
     async def main() -> None:
         async with World(lambda words: served(), lambda words: served()) as world:
             loop, node, pools = asyncio.get_running_loop(), world.parts.node, world.parts.pools.pools
             servers = []
             for pool in pools.values():
-                servers.append(await loop.create_server(lambda: First(asked, first), "127.0.0.1", 0))
+                servers.append(
+                    await loop.create_server(lambda: FirstAnswerServer(asked, first_answer), "127.0.0.1", 0)
+                )
                 pool.address = servers[-1].sockets[0].getsockname()
-                pool._open_connection()  # one to each rests, so that nothing has to be opened later
+                pool._open_connection()  # an idle connection to each, so that no connect is needed later
             while not all(pool.idle for pool in pools.values()):
                 await asyncio.sleep(0)
             client = await world.client()
@@ -313,7 +325,7 @@
             if how == "cancelled":
                 node._cancel(it.Cancel(max(node.requests), 0), node.clock.now())
             assert await client.answer() == b"value"
-            assert ended == [True, True]
+            assert shut_down == [True, True]
             for server in servers:
                 server.close()
 
@@ -321,8 +333,8 @@
 
 
 @pytest.mark.parametrize("late", [True, False])
-def test_a_keyed_repeat_that_waited_for_its_connection_beyond_the_window_is_not_written(late: bool) -> None:
-    """The window counts from the first attempt's send; the connect of the repeat comes up when it is over."""
+def test_a_keyed_repeat_that_waited_for_its_connection_beyond_the_window_is_not_sent(late: bool) -> None:
+    """The window starts when the first attempt is sent; the repeat gets its connection after the window."""
 
     async def main() -> None:
         classes = [one | {"window_ms": 1000, "group": "all"} for one in WIRE["classes"]]
@@ -346,7 +358,7 @@
                 now = node.clock.now
                 node.clock.now = lambda: now() + 1000.0  # type: ignore[method-assign]
             start(held[1])
-            # Its key binds all hosts, but only for the window: after that a new try would run again.
+            # All hosts know its key, but only for the window: after that a repeat would run a second time.
             assert await client.answer() == ("-ERR failed" if late else "-BUSY")
             written = sum(host.commands.qsize() for host in world.hosts)
             assert written == 1 if late else written > 1
@@ -354,8 +366,8 @@
     run(main())
 
 
-def test_an_answer_that_comes_as_its_time_ends_completes_the_attempt_once() -> None:
-    """It is in the system's buffers when the timer fires, and the loop has not read it yet."""
+def test_an_answer_that_arrives_at_the_timeout_ends_the_attempt_once() -> None:
+    """The answer is in the system's buffers when the timer fires, and the event loop has not read it yet."""
 
     async def main() -> None:
         async with World(lambda words: None) as world:
@@ -367,10 +379,10 @@
             raw = socket.socket(fileno=socket.dup(peer.get_extra_info("socket").fileno()))
             raw.send(served())
             raw.close()
-            node._timed_out(attempt)  # no turn of the loop between
+            node._timed_out(attempt)  # before the event loop runs
             node._timed_out(attempt)
             node.attempt_ended(attempt, it.Outcome.OK, b"value")
-            assert (await log.next_attempt_end()).outcome is it.Outcome.TIMEOUT
+            assert (await log.next_end()).outcome is it.Outcome.TIMEOUT
             await soon(world.hosts[0].closed.get())
             assert isinstance(connection, host_connection.HostConnection) and connection.closed
             assert (
@@ -382,7 +394,7 @@
     run(main())
 
 
-def test_a_connect_that_comes_up_as_its_time_ends_leaves_no_connection_behind() -> None:
+def test_a_connect_that_completes_at_its_time_limit_leaves_no_connection_open() -> None:
     async def main() -> None:
         async with World(lambda words: served()) as world:
             log, pools = EventLog(world), world.parts.pools
@@ -390,8 +402,8 @@
             while not pools.connecting:
                 await asyncio.sleep(0)
             await asyncio.sleep(0)  # the connect is under way
-            time.sleep(0.3)  # it has come up and its time is over when the loop looks again
-            outcome = (await log.next_attempt_end()).outcome
+            time.sleep(0.3)  # when the event loop runs again, the connect is complete and its time is over
+            outcome = (await log.next_end()).outcome
             if outcome is it.Outcome.UNREACHABLE:
                 await soon(world.hosts[0].closed.get())
                 assert world.hosts[0].commands.empty() and not pools.open_connections
@@ -402,7 +414,7 @@
 
 def test_a_keyed_repeat_keeps_its_key_and_its_zone() -> None:
     async def main() -> None:
-        handler = _first({b"1": Peer.RESET}, served())
+        handler = _answer_first_by_id({b"1": Peer.RESET}, served())
         sites = ("east", "east", "west", "west", "west", "west")
         async with World(*[handler] * 6, sites=sites) as world:
             client = await world.client()
@@ -419,10 +431,10 @@
     run(main())
 
 
-def test_a_connection_carries_one_request_at_a_time_and_is_used_again(
+def test_a_connection_carries_one_request_at_a_time_and_is_reused(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(host_pools, "REUSE_DELAY_MS", 0.0)  # as if it had settled
+    monkeypatch.setattr(host_pools, "REUSE_DELAY_MS", 0.0)  # connections can be reused at once
 
     async def main() -> None:
         release = asyncio.Event()
@@ -446,7 +458,7 @@
     run(main())
 
 
-def test_a_resting_connection_is_closed_by_us_first() -> None:
+def test_the_gateway_closes_an_idle_connection_at_its_idle_limit() -> None:
     async def main() -> None:
         async with World(lambda words: served()) as world:
             world.parts.pools.idle_limit_ms = 30
@@ -462,20 +474,20 @@
 
 
 def _peer_of(world: World) -> Any:
-    """The host's side of the only connection to it."""
+    """Return the transport at the host's side of the only connection to the first host."""
     return world.hosts[0].connected.get_nowait().transport
 
 
 @pytest.mark.parametrize("how", ["bytes", "end", "age"])
-def test_a_resting_connection_is_looked_at_before_it_serves_again(how: str) -> None:
-    """What comes is in the system's buffers already, and our loop has not read it when the request starts."""
+def test_an_idle_connection_with_unread_input_or_beyond_its_idle_limit_is_not_reused(how: str) -> None:
+    """The input is in the system's buffers, and the event loop has not read it when the request starts."""
 
     async def main() -> None:
         async with World(lambda words: served()) as world:
             log, pools = EventLog(world), world.parts.pools
             pool = pools.pools[1]
             pools.start(add_attempt(world))
-            assert (await log.next_attempt_end()).outcome is it.Outcome.OK
+            assert (await log.next_end()).outcome is it.Outcome.OK
             pool.idle[0].idle_since -= host_pools.REUSE_DELAY_MS
             await soon(world.hosts[0].commands.get())
             old, peer = pool.idle[0], _peer_of(world)
@@ -487,22 +499,24 @@
             else:
                 old.idle_since -= pools.idle_limit_ms + 1.0
             raw.close()
-            pools.start(add_attempt(world))  # no turn of the loop between
+            pools.start(add_attempt(world))  # before the event loop runs
             assert old.closed
-            assert (await log.next_attempt_end()).outcome is it.Outcome.OK
-            assert world.hosts[0].connected.qsize() == 1  # a new one
+            assert (await log.next_end()).outcome is it.Outcome.OK
+            assert world.hosts[0].connected.qsize() == 1  # a new connection
 
     run(main())
 
 
-def test_a_second_answer_that_comes_late_is_not_the_next_requests(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(host_pools, "REUSE_DELAY_MS", 20_000.0, raising=False)  # as if no time passed
+def test_a_late_second_answer_is_not_taken_for_the_answer_to_the_next_request(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
+    monkeypatch.setattr(host_pools, "REUSE_DELAY_MS", 20_000.0, raising=False)  # prevents any reuse
 
     async def main() -> None:
         peers: list[Any] = []
 
         def handle(words: list[bytes]) -> bytes:
-            if words[2] == b"2":  # the second answer to the first one comes before the one to this
+            if words[2] == b"2":  # a second answer to request 1, before the answer to this one
                 peers[0].write(served(b"answer to 1"))
             return served(b"answer to " + words[2])
 
@@ -521,25 +535,23 @@
     run(main())
 
 
-def test_who_cannot_connect_gets_the_connection_that_settles() -> None:
-    """A host that holds as many connections as it may refuses another; it is not unreachable."""
+def test_an_attempt_that_cannot_connect_waits_until_an_idle_connection_may_be_reused() -> None:
+    """A host at its connection limit refuses another connection; that doesn't make it unreachable."""
 
     async def main() -> None:
         async with World(lambda words: served()) as world:
             log, pools = EventLog(world), world.parts.pools
             pools.start(add_attempt(world))
-            assert (await log.next_attempt_end()).outcome is it.Outcome.OK
+            assert (await log.next_end()).outcome is it.Outcome.OK
             world.hosts[0].server.close()
             pools.start(add_attempt(world))
             assert pools.connecting == 1 and len(pools.pools[1].idle) == 1
-            assert (await log.next_attempt_end()).outcome is it.Outcome.OK and len(
-                pools.pools[1].connections
-            ) == 1
+            assert (await log.next_end()).outcome is it.Outcome.OK and len(pools.pools[1].connections) == 1
 
     run(main())
 
 
-def test_connections_to_a_host_that_fell_silent_are_not_used_again() -> None:
+def test_idle_connections_to_a_host_that_stopped_answering_are_not_reused() -> None:
     async def main() -> None:
         async with World(lambda words: served() if words[2] == b"1" else None) as world:
             log, pools, attempts = (
@@ -550,14 +562,14 @@
             for attempt in attempts:
                 pools.start(attempt)
             for _ in attempts:
-                assert (await log.next_attempt_end()).outcome is it.Outcome.OK
+                assert (await log.next_end()).outcome is it.Outcome.OK
             silent = add_attempt(world)
             silent.request.words[2] = b"silent"
             pools.start(silent)
             while (await soon(world.hosts[0].commands.get()))[2] != b"silent":
                 pass
             world.parts.node._timed_out(silent)
-            assert (await log.next_attempt_end()).outcome is it.Outcome.TIMEOUT
+            assert (await log.next_end()).outcome is it.Outcome.TIMEOUT
             for _ in attempts:
                 await soon(world.hosts[0].closed.get())
             assert not pools.open_connections
@@ -565,25 +577,25 @@
     run(main())
 
 
-def test_a_host_that_moves_or_starts_again_gets_new_connections() -> None:
+def test_a_host_with_a_new_address_or_start_time_gets_new_connections() -> None:
     async def main() -> None:
         async with World(lambda words: served(), lambda words: served()) as world:
             log, pools = EventLog(world), world.parts.pools
             old, new = world.hosts
             pools.start(add_attempt(world))
-            await asyncio.sleep(0)  # one turn of the loop: the connect is under way
+            await asyncio.sleep(0)  # one turn of the event loop: the connect is under way
             pools.update_host(1, new.address, it.HostState.READY, 0.0)
-            assert (await log.next_attempt_end()).outcome is it.Outcome.OK
+            assert (await log.next_end()).outcome is it.Outcome.OK
             assert old.commands.empty() and new.commands.qsize() == 1
             pools.update_host(1, new.address, it.HostState.READY, 7.0)
             await soon(new.closed.get())
             pools.start(add_attempt(world))
-            assert (await log.next_attempt_end()).outcome is it.Outcome.OK
+            assert (await log.next_end()).outcome is it.Outcome.OK
 
     run(main())
 
 
-def test_an_error_that_only_begins_like_busy_may_have_run() -> None:
+def test_an_error_word_that_only_begins_with_busy_may_have_run() -> None:
     async def main() -> None:
         async with World(lambda words: b"-BUSYKEY in use\r\n") as world:
             client = await world.client()
@@ -593,9 +605,9 @@
     run(main())
 
 
-def test_a_spoilt_answer_ends_its_attempt_at_once_as_one_that_may_have_run() -> None:
+def test_a_malformed_answer_ends_its_attempt_at_once_as_one_that_may_have_run() -> None:
     async def main() -> None:
-        for garbage in (
+        for malformed in (
             b"HTTP/1.1 200 OK\r\n",
             b"$-1\r\n",
             b"*1\r\n$-1\r\n",
@@ -610,42 +622,40 @@
             b"-" + b"x" * 300,
             b"*3\r\n+value\r\n$-1\r\n$-1\r\n",
         ):
-            handler = _first({b"1": garbage}, served())
+            handler = _answer_first_by_id({b"1": malformed}, served())
             async with World(handler, handler) as world:
                 log, client = EventLog(world), await world.client()
                 client.ask(b"1")
-                assert await client.answer() == b"value", garbage[:20]
-                assert (
-                    await log.next_attempt_end()
-                ).outcome is it.Outcome.ERROR  # no reset: the host is not to blame
+                assert await client.answer() == b"value", malformed[:20]
+                assert (await log.next_end()).outcome is it.Outcome.ERROR  # RESET would make the host suspect
 
     run(main())
 
 
-def test_an_answer_that_begins_and_never_ends_is_given_up(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_an_incomplete_answer_is_abandoned_after_the_stall_limit(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(host_connection, "STALL_LIMIT_S", 0.05)
 
     async def main() -> None:
-        for begun in (b"*3\r\n$60000\r\nxx", b"-", b"*"):
-            handler = _first({b"1": begun}, served())
+        for incomplete in (b"*3\r\n$60000\r\nxx", b"-", b"*"):
+            handler = _answer_first_by_id({b"1": incomplete}, served())
             async with World(handler, handler) as world:
                 log, client = EventLog(world), await world.client()
                 client.ask(b"1")
                 assert await client.answer() == b"value"
-                assert (await log.next_attempt_end()).outcome is it.Outcome.ERROR
+                assert (await log.next_end()).outcome is it.Outcome.ERROR
 
     run(main())
 
 
-def test_a_good_answer_with_more_behind_it_is_served_and_its_connection_closed() -> None:
+def test_a_valid_answer_followed_by_other_bytes_is_served_and_its_connection_closed() -> None:
     async def main() -> None:
-        for behind in (served(b"other"), b"noise", b"\r\n"):
-            handler = _first({b"1": served(b"first") + behind}, served())
+        for extra in (served(b"other"), b"noise", b"\r\n"):
+            handler = _answer_first_by_id({b"1": served(b"first") + extra}, served())
             async with World(handler) as world:
                 log, client = EventLog(world), await world.client()
                 client.ask(b"1")
                 assert await client.answer() == b"first"
-                assert (await log.next_attempt_end()).outcome is it.Outcome.OK
+                assert (await log.next_end()).outcome is it.Outcome.OK
                 await soon(world.hosts[0].closed.get())
                 client.ask(b"2")
                 assert await client.answer() == b"value"
@@ -653,25 +663,25 @@
     run(main())
 
 
-def test_figures_that_cannot_be_read_do_not_spoil_a_value() -> None:
+def test_malformed_fields_after_a_value_do_not_invalidate_the_value() -> None:
     async def main() -> None:
-        for rest in (
+        for fields in (
             b"$-1\r\n$5\r\nin\0l=\r\n",
             b":x\r\n$-1\r\n",
             b"!\r\n",
             b"$3000000000\r\n",
             b"$4\r\nused\r\n:3\r\n",
         ):
-            handler = _first({b"1": b"*3\r\n$5\r\nfirst\r\n" + rest}, served())
+            handler = _answer_first_by_id({b"1": b"*3\r\n$5\r\nfirst\r\n" + fields}, served())
             async with World(handler) as world:
                 client = await world.client()
                 client.ask(b"1")
-                assert await client.answer() == b"first", rest
+                assert await client.answer() == b"first", fields
 
     run(main())
 
 
-def test_a_value_that_comes_in_pieces_is_served_whole() -> None:
+def test_a_value_that_arrives_in_pieces_is_served_whole() -> None:
     async def main() -> None:
         async def handler(words: list[bytes]) -> bytes | None:
             writer = world.hosts[0].connected.get_nowait()
@@ -695,7 +705,7 @@
             client = await world.client()
             client.ask(b"1")
             await soon(world.hosts[0].commands.get())
-            new = entry("new", world.hosts[0].dial) | {"block": 7}  # at the address of the one that goes
+            new = entry("new", world.hosts[0].dial) | {"block": 7}  # at the removed host's address
             discovery.apply({"seq": 2, "whole": True, "hosts": [new]})
             assert set(module.hosts) == {1, 2} and set(pools.pools) == {1, 2}
             held.released.set()
@@ -706,26 +716,26 @@
             assert list(discovery.table.blocks) == ["7"]
             client.ask(b"2")
             assert await client.answer() == b"value"
-            assert world.hosts[0].connected.qsize() == 2  # a connection of its own
+            assert world.hosts[0].connected.qsize() == 2  # a separate connection
             discovery.apply({"seq": 3, "whole": False, "hosts": [new | {"health": "terminated"}]})
             discovery.apply({"seq": 4, "whole": False, "hosts": [entry("newest", world.hosts[0].dial)]})
-            assert set(module.hosts) == set(pools.pools) == {3}  # numbers are not given twice
+            assert set(module.hosts) == set(pools.pools) == {3}  # host numbers are not reused
 
     run(main())
 
 
-def test_connections_stay_within_their_budget() -> None:
+def test_connections_stay_within_their_limit() -> None:
     async def main() -> None:
         async with World(lambda words: served(), lambda words: None) as world:
             log, pools = EventLog(world), world.parts.pools
             pools.max_connections = 1
             pools.start(add_attempt(world))
-            assert (await log.next_attempt_end()).outcome is it.Outcome.OK  # its connection rests now
+            assert (await log.next_end()).outcome is it.Outcome.OK  # its connection is idle now
             second, third = add_attempt(world), add_attempt(world)
             second.host = third.host = 2
             pools.start(second)
-            await soon(world.hosts[0].closed.get())  # it gave way
+            await soon(world.hosts[0].closed.get())  # closed to make room
             pools.start(third)
-            assert (await log.next_attempt_end()).outcome is it.Outcome.MOOT
+            assert (await log.next_end()).outcome is it.Outcome.MOOT
 
     run(main())
--- a/tests/test_node_lists_at_scale.py
+++ b/tests/test_node_lists_at_scale.py
@@ -80,7 +80,7 @@
                 pools.update_host(number, address, it.HostState.DRAINING, 0.0)
             pools.update_host(7, address, it.HostState.GONE, 0.0)
             pools.return_waiting()
-            ends = [await log.next_attempt_end(), await log.next_attempt_end()]
+            ends = [await log.next_end(), await log.next_end()]
             assert [(end.host, end.outcome) for end in ends] == [
                 (size - 3, it.Outcome.MOOT),
                 (size, it.Outcome.MOOT),
@@ -99,14 +99,14 @@
             used = [size, 5, size - 1, 9]
             for number in used:
                 pools.start(_attempt_at(world, number))
-                assert (await log.next_attempt_end()).outcome is it.Outcome.OK
+                assert (await log.next_end()).outcome is it.Outcome.OK
             assert [connection.pool.number for connection in pools.idle] == used  # type: ignore[attr-defined]
             pools.max_connections = len(used)
             for closed, number in zip(used, (20, 21, 22, 23), strict=True):
                 assert pools.pools[closed].connections
                 pools.start(_attempt_at(world, number))
                 assert not pools.pools[closed].connections
-                assert (await log.next_attempt_end()).outcome is it.Outcome.OK
+                assert (await log.next_end()).outcome is it.Outcome.OK
             assert not counted.visited
             pools.close_idle()
             assert not counted.visited and not pools.open_connections and not pools.idle
@@ -120,7 +120,7 @@
         async with World(lambda words: served()) as world:
             log, pools = EventLog(world), _many_pools(world, size)
             pools.start(_attempt_at(world, 7))
-            assert (await log.next_attempt_end()).outcome is it.Outcome.OK
+            assert (await log.next_end()).outcome is it.Outcome.OK
             used = [number for number, pool in pools.pools.items() if isinstance(pool.connections, set)]
             assert used == [7]
             pools.update_host(7, ("127.0.0.1", 2), it.HostState.READY, 1.0)  # closes what is idle
@@ -139,7 +139,7 @@
             pools.update_host(2, pools.pools[2].address, it.HostState.DRAINING, 0.0)
             pools.start(_attempt_at(world, 2))
             pools.return_waiting()
-            assert (await log.next_attempt_end()).outcome is it.Outcome.MOOT
+            assert (await log.next_end()).outcome is it.Outcome.MOOT
             await asyncio.sleep(0)
             assert world.hosts[0].commands.empty()
 
--- a/tests/test_standing_hosts.py
+++ b/tests/test_standing_hosts.py
@@ -1,4 +1,4 @@
-"""Hosts that break off, drip, never end or cannot be connected to: each attempt ends, and nothing is left."""
+"""Attempts at hosts that break off, send slowly, never answer or can't be reached end and leave nothing."""
 
 from __future__ import annotations
 
@@ -13,20 +13,20 @@
 from tests.sockets import WIRE, End, Peer, World, entry, reset, run, served
 
 
-def _alive() -> int:
-    """How many requests and attempts are referred to, as by a timer that was left behind."""
+def _count_live_objects() -> int:
+    """Count the requests and attempts that are still referenced, for example by a leaked timer."""
     gc.collect()
-    return sum(type(found) in (Request, Attempt) for found in gc.get_objects())
+    return sum(type(item) in (Request, Attempt) for item in gc.get_objects())
 
 
-class Breaking:
-    """Writes a part of an answer to the first command of each id, then ends; answers all others."""
+class PartialAnswers:
+    """Handlers that send part of an answer to the first command of each id and break; others are answered."""
 
     def __init__(self, part: bytes, end: End) -> None:
         self.part, self.end, self.seen = part, end, set[bytes]()
         self.peers: list[Peer] = []
 
-    def of(self, number: int) -> Any:
+    def handler_for(self, number: int) -> Any:
         async def handle(words: list[bytes]) -> bytes | None:
             if words[2] in self.seen:
                 return served()
@@ -45,14 +45,14 @@
 
 @pytest.mark.parametrize("end", list(End))
 @pytest.mark.parametrize("part", [b"*", b"*3\r\n$5\r\nval", b"*3\r\n$5\r\nvalue\r", b"-BUS", b"-BUSY\r", b""])
-def test_half_a_line_before_a_close_may_have_run(part: bytes, end: End) -> None:
-    """A safe request goes on elsewhere, one that must not run twice has failed."""
+def test_a_request_with_a_partial_answer_before_a_break_may_have_run(part: bytes, end: End) -> None:
+    """A safe request is repeated at another host; a request that must not run twice fails."""
 
     async def main() -> None:
-        before = _alive()
-        breaking = Breaking(part, end)
-        async with World(breaking.of(0), breaking.of(1)) as world:
-            breaking.peers = world.hosts
+        before = _count_live_objects()
+        partial = PartialAnswers(part, end)
+        async with World(partial.handler_for(0), partial.handler_for(1)) as world:
+            partial.peers = world.hosts
             client = await world.client()
             client.ask(b"safe")
             assert await client.answer() == b"value"
@@ -61,16 +61,16 @@
             assert sum(host.commands.qsize() for host in world.hosts) == 3
             client.writer.close()
             await world.emptied()
-            assert _alive() <= before
+            assert _count_live_objects() <= before
 
     run(main())
 
 
-def test_an_answer_that_drips_and_never_ends_is_given_up_in_its_time_and_leaves_nothing() -> None:
-    """Each byte is progress, so only the request's own time ends it."""
+def test_an_endless_slow_answer_ends_at_the_requests_deadline_and_leaves_nothing() -> None:
+    """Each byte counts as progress, so only the request's own deadline ends the attempt."""
 
     async def main() -> None:
-        async def drip(words: list[bytes]) -> bytes | None:
+        async def send_slowly(words: list[bytes]) -> bytes | None:
             writer = await world.hosts[0].connected.get()
             writer.write(b"*3\r\n$60000\r\n")
             while not writer.is_closing():
@@ -78,28 +78,28 @@
                 await asyncio.sleep(0.01)
             return None
 
-        before = _alive()
-        async with World(drip) as world:
+        before = _count_live_objects()
+        async with World(send_slowly) as world:
             client, other = await world.client(), await world.client()
             client.ask(b"1", wait=600)
             other.ask(b"2", b"pay", wait=600, body=b"x")
-            assert str(await client.answer()).startswith("-BUSY")  # safe, and every host has been tried
+            assert str(await client.answer()).startswith("-BUSY")  # safe, and all hosts were tried
             assert await other.answer() == "-ERR failed"
-            for closing in (client, other):
-                closing.writer.close()
+            for connection in (client, other):
+                connection.writer.close()
             await world.emptied()
-            assert _alive() <= before and not world.parts.pools.open_connections
+            assert _count_live_objects() <= before and not world.parts.pools.open_connections
 
     run(main())
 
 
-def test_figures_that_drip_behind_a_value_do_not_hold_their_connection(
+def test_slow_fields_after_a_value_do_not_occupy_the_connection(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr(host_connection, "STALL_LIMIT_S", 0.2)
 
     async def main() -> None:
-        async def drip(words: list[bytes]) -> bytes | None:
+        async def send_slowly(words: list[bytes]) -> bytes | None:
             writer = await world.hosts[0].connected.get()
             writer.write(b"*3\r\n$5\r\nvalue\r\n$60000\r\n")
             while not writer.is_closing():
@@ -107,7 +107,7 @@
                 await asyncio.sleep(0.02)
             return None
 
-        async with World(drip) as world:
+        async with World(send_slowly) as world:
             client = await world.client()
             client.ask(b"1")
             assert await client.answer() == b"value"
@@ -119,8 +119,8 @@
 
 
 @pytest.mark.parametrize("over", [False, True])
-def test_a_keyed_request_is_repeated_inside_its_window_only(over: bool) -> None:
-    """The window is short, as against the deadline, and the first attempt breaks off inside it or later."""
+def test_a_keyed_request_is_repeated_only_inside_its_window(over: bool) -> None:
+    """The window is shorter than the deadline; the first attempt breaks off inside the window or after it."""
 
     async def main() -> None:
         window = 300 if over else 5000
@@ -138,7 +138,7 @@
             client = await world.client()
             client.ask(b"1", b"send", extra=b"k=77,", body=b"x")
             answer = await client.answer()
-            assert answer == ("-ERR failed" if over else b"value")  # over: a new try would be run again
+            assert answer == ("-ERR failed" if over else b"value")  # over: a repeat would run a second time
             assert sum(host.commands.qsize() for host in world.hosts) == (1 if over else 2)
             client.writer.close()
             await world.emptied()
@@ -146,9 +146,9 @@
     run(main())
 
 
-def test_every_request_gets_its_answer_in_time_though_no_host_gives_one() -> None:
+def test_every_request_gets_an_answer_in_time_although_no_host_answers() -> None:
     async def main() -> None:
-        before = _alive()
+        before = _count_live_objects()
         async with World(*[lambda words: None] * 3) as world:
             kinds: list[tuple[bytes, bytes]] = [(b"read", b""), (b"send", b"k=%d,"), (b"pay", b"")]
             clients = [await world.client() for _ in range(10)]
@@ -163,26 +163,24 @@
             for client in clients:
                 client.writer.close()
             await world.emptied()
-            assert _alive() <= before
+            assert _count_live_objects() <= before
 
     run(main())
 
 
 @pytest.mark.parametrize("dial", ["x" * 70 + ":80", "a..b:80"])
-def test_an_address_that_names_no_host_is_unreachable_at_once(
-    dial: str, caplog: pytest.LogCaptureFixture
-) -> None:
+def test_an_invalid_host_address_is_unreachable_at_once(dial: str, caplog: pytest.LogCaptureFixture) -> None:
     async def main() -> None:
         async with World(lambda words: served()) as world:
             hosts = [entry("odd", dial), entry("h0", world.hosts[0].dial)]
             world.parts.discovery.apply({"seq": 9, "whole": True, "hosts": hosts})
             client, loop = await world.client(), asyncio.get_running_loop()
-            begun = loop.time()
+            started_at = loop.time()
             for n in range(30):
                 client.ask(b"%d" % n)
             for _ in range(30):
                 assert await client.answer() == b"value"
-            assert loop.time() - begun < 3.0  # of the 5 s that each has
+            assert loop.time() - started_at < 3.0  # each request has 5 s
             assert world.hosts[0].commands.qsize() == 30
 
     run(main())
