--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,7 +1,8 @@
-"""Known failures: the tests that KNOWN-RED.txt names run as all others do, and they alone may fail.
+"""Known failures: the tests that KNOWN-RED.txt names run like all others, and only they may fail.
 
-One line each: the test's id, the cause, the issue, with ` | ` between them. One that passes again fails the
-run until its line is gone, so that the list stays true. Pytest prints them at the end (`-rx`).
+Each line holds the test's id, the cause and the issue, separated by ` | `. A listed test that passes again
+fails the run until its line is removed, so that the list stays correct. Pytest prints the known failures at
+the end of the run (`-rx`).
 """
 
 from __future__ import annotations
@@ -12,11 +13,11 @@
 import pytest
 
 KNOWN_RED = Path(__file__).parent.parent / "KNOWN-RED.txt"
-MOST = 3
+MAX_KNOWN_FAILURES = 3
 
 
 class KnownFailure(NamedTuple):
-    """A line of the list."""
+    """A line of KNOWN-RED.txt."""
 
     test: str
     cause: str
@@ -24,12 +25,14 @@
 
 
 def known_failures() -> list[KnownFailure]:
-    """Read the list; a line of another form, or one too many, is an error."""
+    """Read KNOWN-RED.txt; a malformed line or too many lines raise a UsageError."""
     if not KNOWN_RED.exists():
         return []
     lines = [line.split(" | ") for line in KNOWN_RED.read_text().splitlines() if line.strip()]
-    if len(lines) > MOST or any(len(line) != len(KnownFailure._fields) for line in lines):
-        raise pytest.UsageError(f"{KNOWN_RED.name}: at most {MOST} lines of the form: test | cause | issue")
+    if len(lines) > MAX_KNOWN_FAILURES or any(len(line) != len(KnownFailure._fields) for line in lines):
+        raise pytest.UsageError(
+            f"{KNOWN_RED.name}: at most {MAX_KNOWN_FAILURES} lines of the form: test | cause | issue"
+        )
     return [KnownFailure(*line) for line in lines]
 
 
--- a/tests/program.py
+++ b/tests/program.py
@@ -1,4 +1,4 @@
-"""The program as a process of its own: its configuration file, its start, its log, its descriptors."""
+"""Helpers to run the program as a separate process: configuration file, start, log and descriptors."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 def config_file(folder: Path, **change: Any) -> str:
-    """Write a configuration without hosts, with what is changed in it; returns its path."""
+    """Write a configuration without hosts, in which `change` replaces top-level keys; returns its path."""
     source = {
         "name": "n0",
         "listen": "127.0.0.1:0",
@@ -34,7 +34,7 @@
 
 
 async def started(path: str, **environment: str) -> tuple[asyncio.subprocess.Process, tuple[str, int]]:
-    """Start the program; returns it once it listens, with its address for clients."""
+    """Start the program and wait until it listens; returns the process and its address for clients."""
     process = await asyncio.create_subprocess_exec(
         sys.executable,
         "-m",
@@ -46,18 +46,21 @@
 
 
 async def log_line(process: asyncio.subprocess.Process, word: bytes) -> str:
-    """The next line of the log that holds a word."""
+    """Return the next log line that contains `word`; fails if the process ends before that."""
     assert process.stderr is not None
     line: bytes = await soon(process.stderr.readline())
     while word not in line:
-        assert line, "it ended"
+        assert line, "the process ended"
         line = await soon(process.stderr.readline())
     return str(line, "ascii")
 
 
 @contextlib.asynccontextmanager
 async def program(folder: Path, **change: Any) -> AsyncIterator[tuple[Any, tuple[str, int]]]:
-    """The program with a configuration of its own, and its address for clients; it is killed at the end."""
+    """Run the program with its own configuration; yields the process and its address for clients.
+
+    The process is killed at the end.
+    """
     process, address = await started(config_file(folder, **change))
     try:
         yield process, address
@@ -68,16 +71,16 @@
 
 
 def descriptors(process: asyncio.subprocess.Process) -> set[int]:
-    """The descriptors that a process holds."""
+    """Return the open descriptors of a process."""
     return {int(name) for name in os.listdir(f"/proc/{process.pid}/fd")}
 
 
 @contextlib.contextmanager
 def no_more_descriptors(process: asyncio.subprocess.Process) -> Any:
-    """For a while every call of a process that makes a descriptor fails with EMFILE."""
-    usual = resource.prlimit(process.pid, resource.RLIMIT_NOFILE)
-    resource.prlimit(process.pid, resource.RLIMIT_NOFILE, (0, usual[1]))
+    """Make each system call of a process that needs a new descriptor fail with EMFILE inside the context."""
+    previous = resource.prlimit(process.pid, resource.RLIMIT_NOFILE)
+    resource.prlimit(process.pid, resource.RLIMIT_NOFILE, (0, previous[1]))
     try:
         yield
     finally:
-        resource.prlimit(process.pid, resource.RLIMIT_NOFILE, usual)
+        resource.prlimit(process.pid, resource.RLIMIT_NOFILE, previous)
--- a/tests/sockets.py
+++ b/tests/sockets.py
@@ -1,4 +1,4 @@
-"""A gateway between clients, hosts, a counter and discovery that the tests play, all on loopback."""
+"""A gateway with test doubles for its clients, hosts, counter and discovery, all on loopback."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 from rainturn.node.configuration import parse_config
 from rainturn.node.resp import pack
 
-LONG = 10.0  # no test waits for this: it only ends one that hangs
+LONG = 10.0  # seconds; no passing test waits this long, the limit only ends a test that hangs
 
 WIRE: dict[str, Any] = {
     "me": 0,
@@ -75,24 +75,28 @@
 
 
 def run(main: Coroutine[Any, Any, None]) -> None:
-    """Run a test on the loop that the program uses; a hang ends as a failure."""
+    """Run a test on the event loop type that the program uses; a test that hangs fails."""
     with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
         runner.run(asyncio.wait_for(main, 3 * LONG))
 
 
 async def soon(awaitable: Awaitable[Any]) -> Any:
+    """Await with a time limit of `LONG` seconds."""
     return await asyncio.wait_for(awaitable, LONG)
 
 
 def reset(writer: asyncio.StreamWriter) -> None:
-    """Break a connection so that the other side gets a reset."""
+    """Close a connection so that the other side gets a TCP reset."""
     raw = writer.get_extra_info("socket")
     raw.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
     writer.transport.abort()
 
 
 class Peer:
-    """A RESP server: every command goes to `handler`, what it returns goes back; `RESET` breaks."""
+    """A RESP server that passes each command to `handler` and sends back what it returns.
+
+    None sends nothing, and `RESET` resets the connection.
+    """
 
     RESET = b"reset the connection"
 
@@ -136,14 +140,14 @@
 
 
 class End(enum.Enum):
-    """How a connection ends behind the bytes of a raw answer."""
+    """How a connection ends after the bytes of a raw answer."""
 
     CLOSE = enum.auto()
     RESET = enum.auto()
 
 
 class Discovery:
-    """Plays the agent: each call waits for the next answer that the test puts."""
+    """A stand-in for the discovery agent: each call waits for the next answer that the test provides."""
 
     def __init__(self) -> None:
         self.calls: asyncio.Queue[str] = asyncio.Queue()
@@ -155,12 +159,13 @@
         self.address = self.server.sockets[0].getsockname()
         return self
 
-    def put(self, news: Any) -> None:
-        body = news if isinstance(news, bytes) else json.dumps(news).encode()
+    def put(self, update: Any) -> None:
+        """Answer a call with status 200 and this body: bytes, or an object that is sent as JSON."""
+        body = update if isinstance(update, bytes) else json.dumps(update).encode()
         self.answers.put_nowait(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s" % (len(body), body))
 
     def put_raw(self, *parts: bytes | End) -> None:
-        """Answer a call with these bytes, each part written by itself; an `End` ends the connection."""
+        """Answer a call with these bytes, each part written separately; an `End` ends the connection."""
         self.answers.put_nowait(parts)
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -211,7 +216,10 @@
         self.send(verb, b"%016x" % customer, ident, fields, *([] if body is None else [body]))
 
     async def answer(self) -> Any:
-        """The next answer, or EOFError when the connection has ended."""
+        """Return the next answer (an error as a str that begins with "-").
+
+        Raises EOFError when the connection has ended.
+        """
         while (reply := self.parser.gets()) is ...:
             data = await soon(self.reader.read(1 << 16))
             if not data:
@@ -240,7 +248,7 @@
 
 
 class FailingListener:
-    """A listener that fails once for want of a descriptor."""
+    """A listening socket whose first accept fails with EMFILE (no free descriptor)."""
 
     def __init__(self, real: socket.socket) -> None:
         self.real, self.failed = real, asyncio.Event()
@@ -256,7 +264,7 @@
 
 
 class Held:
-    """A host that serves nothing until it is released."""
+    """A handler for a host that answers no command until `released` is set."""
 
     def __init__(self) -> None:
         self.released = asyncio.Event()
@@ -267,7 +275,7 @@
 
 
 class Totals:
-    """A counter that counts."""
+    """A handler for a counter that adds up the amounts of each count and answers with the total."""
 
     def __init__(self) -> None:
         self.totals: dict[bytes, float] = {}
@@ -278,12 +286,12 @@
         return b"$%d\r\n%s\r\n" % (len(text), text)
 
 
-def _any(held: Any) -> bool:
-    return any(held) if isinstance(held, tuple) else bool(held)
+def _holds_anything(value: Any) -> bool:
+    return any(value) if isinstance(value, tuple) else bool(value)
 
 
 class World:
-    """A gateway with hosts that answer by their handlers; `known` is all that it hears of them."""
+    """A gateway with a counter and hosts that answer by their handlers; its only host list is `known`."""
 
     def __init__(
         self,
@@ -341,10 +349,10 @@
         return await control(self.operators, path, method)
 
     def left_behind(self) -> dict[str, Any]:
-        """All that the gateway holds for clients and for work under way; idle connections are not."""
+        """Return what the gateway holds for clients and open work, by part; idle connections don't count."""
         node, pools, module = self.parts.node, self.parts.pools, self.parts.node.module
         attempts = module.attempts
-        held: dict[str, list[Any]] = {
+        state: dict[str, list[Any]] = {
             "clients": [self.parts.clients.connections, *self.parts.clients.timeouts.states],
             "requests": [node.requests, node.request_ids, node.unanswered, node.held_bytes],
             "module": [attempts.open, attempts.queued, attempts.ended],
@@ -353,10 +361,14 @@
             "pools": [pools.connecting, *((p.connecting, p.waiting) for p in pools.pools.values())],
             "busy": [set(p.connections) - set(p.idle) for p in pools.pools.values()],
         }
-        return {name: left for name, values in held.items() if (left := [v for v in values if _any(v)])}
+        return {
+            name: left
+            for name, values in state.items()
+            if (left := [v for v in values if _holds_anything(v)])
+        }
 
     async def emptied(self) -> None:
-        """Wait until nothing is left behind; one that stays is shown."""
+        """Wait until `left_behind` returns nothing; fails after `LONG` seconds and shows what is left."""
         loop = asyncio.get_running_loop()
         end = loop.time() + LONG
         while left := self.left_behind():
@@ -364,7 +376,7 @@
             await asyncio.sleep(0.01)
 
     async def figures(self) -> dict[str, int]:
-        """The figures by name; the form of every line is checked."""
+        """Return the metrics by name, after a check of the form of each line."""
         status, text = await self.control("/control/counters")
         lines = [re.fullmatch(r"gateway\.([a-z_.]+):([0-9]+)\|([cg])", line) for line in text.splitlines()]
         assert status == 200 and all(lines), text
@@ -372,12 +384,12 @@
 
 
 async def control(address: tuple[str, int], path: str, method: str = "GET") -> tuple[int, str]:
-    """One call of an operator: the status and the body."""
+    """Send an operator's call; returns the status and the body."""
     return await call(address, f"{method} {path} HTTP/1.1\r\nHost: gateway\r\n\r\n".encode())
 
 
 async def call(address: tuple[str, int], raw: bytes) -> tuple[int, str]:
-    """Send bytes to the operators' address and read the answer until the connection ends."""
+    """Send bytes to the operators' address and read to the end; returns the status and the body."""
     reader, writer = await asyncio.open_connection(*address)
     writer.write(raw)
     head, _, body = (await soon(reader.read())).decode().partition("\r\n\r\n")
