--- a/rainturn/node/host_connection.py
+++ b/rainturn/node/host_connection.py
@@ -66,7 +66,7 @@
         self.upload_backlog = 0  # unsent bytes at the last check
         self.value_bytes_left: int | None = None  # remaining bytes of a streamed value
         self.fields_after_value = 0  # number of fields that follow the streamed value
-        self.fields_expected: int | None = None  # number of fields after a complete value
+        self.fields_expected: int | None = None  # number of fields after a complete value; None before that
         self.reading_paused = False  # whether reading waits for the client to accept more of a value
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
--- a/rainturn/node/host_pools.py
+++ b/rainturn/node/host_pools.py
@@ -50,7 +50,7 @@
         self.gone = False
         self.idle = cast("deque[HostConnection]", ())  # the most recently used connection is last
         self.connections = cast("set[HostConnection]", ())
-        self.connecting = 0
+        self.connecting = 0  # number of connects under way
         self.waiting = cast("deque[Attempt]", ())
         self.idle_timer: asyncio.TimerHandle | None = None  # closes the oldest idle connection
         # Set while attempts wait until an idle connection is older than REUSE_DELAY_MS.
@@ -236,7 +236,7 @@
         self.pools: dict[int, HostPool] = {}
         self.idle: OrderedDict[HostConnection, None] = OrderedDict()  # of all pools, the oldest is first
         self.pools_to_return: set[HostPool] = set()  # pools in which attempts wait for a leaving host
-        self.open_connections = self.connecting = 0
+        self.open_connections = self.connecting = 0  # in all pools
         self.closing = False  # whether connections are closed when their attempt ends
         self.tasks: set[asyncio.Task[None]] = set()
         self.on_forgotten: Callable[[str], None] = lambda name: None  # called with a forgotten host's name
--- a/tests/test_node_size.py
+++ b/tests/test_node_size.py
@@ -71,7 +71,7 @@
 def test_values_of_any_length_pass_both_ways_in_pieces_cut_anywhere(
     length: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(host_pools, "REUSE_DELAY_MS", 0.0)  # as if a connection had settled
+    monkeypatch.setattr(host_pools, "REUSE_DELAY_MS", 0.0)  # connections can be reused at once
 
     async def main() -> None:
         body, value = _bytes(length), _bytes(length + 1 if length < LONG else length)
@@ -310,7 +310,7 @@
 def test_figures_behind_a_value_are_waited_for_and_the_connection_serves_again(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(host_pools, "REUSE_DELAY_MS", 0.0)  # as if it had settled
+    monkeypatch.setattr(host_pools, "REUSE_DELAY_MS", 0.0)  # connections can be reused at once
 
     async def main() -> None:
         async with World(lambda words: served()) as world:
