--- a/tests/test_node_size.py
+++ b/tests/test_node_size.py
@@ -73,7 +73,7 @@
 def test_values_of_any_length_pass_in_both_directions_however_they_are_split(
     length: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(host_pools, "SETTLE_MS", 0.0)  # a connection is reusable at once
+    monkeypatch.setattr(host_pools, "REUSE_DELAY_MS", 0.0)  # connections can be reused at once
 
     async def main() -> None:
         body, value = _random_bytes(length), _random_bytes(length + 1 if length < MAX_LENGTH else length)
@@ -278,7 +278,7 @@
             assert str(await client.answer()).startswith("-BUSY")  # an incomplete command never runs
             listener.close()
 
-    monkeypatch.setattr(host_connection, "UPLOAD_STALL_S", 0.2)
+    monkeypatch.setattr(host_connection, "UPLOAD_STALL_LIMIT_S", 0.2)
     run(main())
 
 
@@ -318,7 +318,7 @@
 def test_a_connection_is_reused_once_the_fields_after_a_value_have_arrived(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(host_pools, "SETTLE_MS", 0.0)  # a connection is reusable at once
+    monkeypatch.setattr(host_pools, "REUSE_DELAY_MS", 0.0)  # connections can be reused at once
 
     async def main() -> None:
         async with World(lambda words: served()) as world:
