--- a/rainturn/decisions/gateway.py
+++ b/rainturn/decisions/gateway.py
@@ -37,7 +37,7 @@
         self.ready_after = -math.inf  # set after a handover: until then it waits for a fresh host list
         self._handlers: dict[type[it.Event], Callable[[float, Any], Any]] = {
             it.Arrived: self._on_arrived,
-            it.BodyWhole: self.attempts.on_body_complete,
+            it.BodyComplete: self.attempts.on_body_complete,
             it.StreamBegan: self.attempts.on_answer_began,
             it.AttemptEnded: self._on_attempt_ended,
             it.RequestGone: self.attempts.on_client_left,
@@ -76,7 +76,7 @@
         return self.host_selector.skipped_count()
 
     def _start(self, now: float) -> None:
-        self.has_started, self.meter.started = True, now
+        self.has_started, self.meter.started_at = True, now
         ends = now + PERIOD_MS * (0.5 + self.rng.random())  # so that gateways' periods do not coincide
         self.attempts.hold_timers.period_ends = ends
         self.timers.after(now, ends - now, self._on_period)
@@ -97,17 +97,17 @@
             return self.attempts.refuse(now, request)
         customer, price, weight = None, 1.0, 1.0
         if 0 <= event.plan < len(self.settings.plans):
-            customer = request.customer = self.meter.customer(now, event)
-            price, weight = customer.plan.price, self.meter.weight(customer, event.plan)
-        tier = self.tiers.of(request_class.worth * price)
+            customer = request.customer = self.meter.get_customer(now, event)
+            price, weight = customer.plan.price, self.meter.pass_chance(customer, event.plan)
+        tier = self.tiers.tier_of(request_class.worth * price)
         if not self.tiers.admit(tier, weight):
             # The boundary tier has a new budget next period; when lower tiers are admitted is not known.
             left_ms = max(0.0, self.attempts.hold_timers.period_ends - now)
-            self.attempts.refuse(now, request, left_ms if tier == self.tiers.cut else 0.0)
+            self.attempts.refuse(now, request, left_ms if tier == self.tiers.boundary else 0.0)
         elif customer is None or not customer.plan.rate:
             self.slots.start(now, request)
         else:
-            self.meter.meter(now, request, customer)
+            self.meter.check_quota(now, request, customer)
 
     def _on_attempt_ended(self, now: float, event: it.AttemptEnded) -> None:
         customer = self.attempts.on_attempt_ended(now, event)
@@ -116,11 +116,11 @@
 
     def _on_count_answered(self, now: float, event: it.CountAnswered) -> None:
         if now - event.elapsed >= self.host_selector.evidence_since:
-            self.calls.note_answer(event)
+            self.calls.record_answer(event)
         customer = self.customers.get(customer_key(event.name))
         if customer is not None:
             component = self.slots if is_slots_name(event.name) else self.meter
-            component.answered(now, event, customer)
+            component.handle_answer(now, event, customer)
 
     def _on_host_list(self, now: float, event: it.HostList) -> None:
         """Apply the host list; draining and gone hosts get nothing from here on, not even repeats."""
@@ -147,7 +147,9 @@
         self.timers.after(now, PERIOD_MS, self._on_period)
         self.attempts.hold_timers.begin_period(now, now + PERIOD_MS, self.open.values())
         self.index.begin_period(now)
-        since = max(self.tiers.marked_at, self.host_selector.evidence_since)
-        self.tiers.roll(now, self.host_selector.open_attempts(), self.attempts.overdue_count(now, since))
+        since = max(self.tiers.overload_at, self.host_selector.evidence_since)
+        self.tiers.end_period(
+            now, self.host_selector.open_attempts(), self.attempts.overdue_count(now, since)
+        )
         if self.rng.random() < IDLE_CHECK_PROBABILITY:
             self.meter.forget_idle(now)
