--- a/rainturn/emulator/client_load.py
+++ b/rainturn/emulator/client_load.py
@@ -12,18 +12,18 @@
 from hdrh.histogram import HdrHistogram
 
 from rainturn.emulator.hollow import request_words
-from rainturn.emulator.workload import CLASSES, Draw
+from rainturn.emulator.workload import CLASSES, DrawnRequest
 from rainturn.node.resp import pack
 
 BODY = b"b" * 200  # of a write
 LONGEST_US = 60_000_000
-CONNECTIONS = 200  # to one gateway at most: a third of its descriptors, about
+MAX_CONNECTIONS = 200  # to one gateway at most: a third of its descriptors, about
 
 
 class ClientConnection(asyncio.Protocol):
     """A connection that carries one request at a time."""
 
-    def __init__(self, front: GatewayFront) -> None:
+    def __init__(self, front: GatewayClients) -> None:
         self.front = front
         self.transport: asyncio.Transport
         self.reader = hiredis.Reader()
@@ -52,11 +52,11 @@
     def connection_lost(self, error: Exception | None) -> None:
         """The gateway has ended the connection."""
         if self.sent_at is not None:
-            self.front.ended_as["lost"] += 1
+            self.front.outcome_counts["lost"] += 1
         self.front.gone(self)
 
 
-class GatewayFront:
+class GatewayClients:
     """The clients of one gateway.
 
     `added_us` holds, for each served request, the time from its sending to its answer less the time that the
@@ -66,7 +66,7 @@
     def __init__(self, address: tuple[str, int]) -> None:
         self.address = address
         self.added_us = HdrHistogram(1, LONGEST_US, 3)
-        self.ended_as: Tally[str] = Tally()
+        self.outcome_counts: Tally[str] = Tally()
         self.sent = 0
         self.idle: list[ClientConnection] = []
         self.open: set[ClientConnection] = set()
@@ -74,7 +74,7 @@
         self.waiting: deque[bytes] = deque()
         self.tasks: set[asyncio.Task[None]] = set()
 
-    def request(self, number: int, draw: Draw) -> None:
+    def request(self, number: int, draw: DrawnRequest) -> None:
         """Send a request on a connection that rests, or on a new one."""
         words = request_words(number, draw)
         command = pack(words if CLASSES[draw.kind].effect == "retryable" else [*words, BODY])
@@ -84,7 +84,7 @@
             if not connection.transport.is_closing():
                 return connection.send(command)
         self.waiting.append(command)
-        if self.connecting < len(self.waiting) and len(self.open) + self.connecting < CONNECTIONS:
+        if self.connecting < len(self.waiting) and len(self.open) + self.connecting < MAX_CONNECTIONS:
             self.connecting += 1
             task = asyncio.get_running_loop().create_task(self._connect())
             self.tasks.add(task)
@@ -97,7 +97,7 @@
         except OSError:
             if self.waiting:
                 self.waiting.popleft()
-                self.ended_as["unreachable"] += 1
+                self.outcome_counts["unreachable"] += 1
             return
         finally:
             self.connecting -= 1
@@ -121,12 +121,12 @@
         """Book an answer: a value, by itself or first of an array, is served."""
         value = answer[0] if isinstance(answer, list) and answer else answer
         if isinstance(value, bytes):
-            self.ended_as["served"] += 1
+            self.outcome_counts["served"] += 1
             self.added_us.record_value(max(1, int(took_s * 1e6) - int(value)))
         elif isinstance(answer, hiredis.ReplyError) and str(answer).split(" ")[0] == "BUSY":
-            self.ended_as["refused"] += 1
+            self.outcome_counts["refused"] += 1
         else:
-            self.ended_as["failed"] += 1
+            self.outcome_counts["failed"] += 1
 
     def close(self) -> None:
         """End all connections."""
@@ -134,7 +134,7 @@
             connection.transport.abort()
 
 
-async def says_pong(address: tuple[str, int]) -> bool:
+async def answers_ping(address: tuple[str, int]) -> bool:
     """Whether a gateway answers PING with PONG: clients may come."""
     writer: asyncio.StreamWriter | None = None
     try:
--- a/rainturn/emulator/commands.py
+++ b/rainturn/emulator/commands.py
@@ -40,7 +40,7 @@
 
 
 @dataclass(frozen=True)
-class ChangeOne:
+class ChangeHosts:
     """Change single hosts, `count` times, each once `watchers` callers have the change before it.
 
     With `every_s` each comes so long after the one before instead, whoever has that.
@@ -48,37 +48,37 @@
 
     count: int
     watchers: int = 0
-    every_s: float = 0.0
+    interval_s: float = 0.0
 
 
 @dataclass(frozen=True)
-class Zone:
+class ChangeZone:
     """A zone of a part of all hosts is lost, or returns cold: as one version, or a version a host.
 
     These come each once `watchers` callers have the one before, or evenly over `over_s`.
     """
 
-    part: float
+    fraction: float
     lost: bool
-    as_one: bool = True
+    as_one_version: bool = True
     watchers: int = 0
-    over_s: float = 0.0
+    duration_s: float = 0.0
 
 
 @dataclass(frozen=True)
-class Slow:
+class SetAnswerTime:
     """Take so long for each answer, one after another; 0: none."""
 
     answer_ms: float
 
 
 @dataclass(frozen=True)
-class Changed:
+class ListChange:
     """The version after a change, how many versions it took, and the monotonic time of the first, in s."""
 
     version: int
     versions: int
-    at: float
+    started_at: float
 
 
 # Hollow gateways and clients.
@@ -86,10 +86,10 @@
 
 @dataclass(frozen=True)
 class Join:
-    """Start gateways; `Joined` comes once all have a host list, or after `within_s`."""
+    """Start gateways; `Joined` comes once all have a host list, or after `timeout_s`."""
 
     numbers: tuple[int, ...]
-    within_s: float = 60.0
+    timeout_s: float = 60.0
 
 
 @dataclass(frozen=True)
@@ -121,11 +121,11 @@
 
     version: int
     since: float  # monotonic, s
-    within_s: float
+    timeout_s: float
 
 
 @dataclass(frozen=True)
-class LoadOn:
+class StartLoad:
     """Begin to draw the fleet's requests; dry: draw and make them, and give them to no gateway."""
 
     requests_per_second: float
@@ -136,7 +136,7 @@
 
 
 @dataclass(frozen=True)
-class LoadOff:
+class StopLoad:
     """Draw no more."""
 
 
@@ -146,7 +146,7 @@
 
     cpu_s: float
     requests: int
-    ended_as: dict[str, int]
+    outcome_counts: dict[str, int]
     peak_mb: float  # most memory that the process has held at once, in MB (2^20 bytes)
 
 
@@ -155,7 +155,7 @@
     """Wait until gateways at these addresses say that clients may come; the answer is whether all do."""
 
     addresses: dict[int, tuple[str, int]] = field(default_factory=dict)
-    within_s: float = 30.0
+    timeout_s: float = 30.0
 
 
 @dataclass(frozen=True)
@@ -163,7 +163,7 @@
     """What clients of real gateways saw: added time in ms over all, and the endings."""
 
     requests: int
-    ended_as: dict[str, int]
+    outcome_counts: dict[str, int]
     added_p50_ms: float
     added_p99_ms: float
-    added_most_ms: float
+    added_max_ms: float
--- a/rainturn/emulator/comparison.py
+++ b/rainturn/emulator/comparison.py
@@ -8,16 +8,16 @@
 
 from rainturn.emulator.commands import (
     AwaitReady,
-    ChangeOne,
+    ChangeHosts,
     ClientReading,
     HollowReading,
     Join,
     Listen,
-    LoadOff,
-    LoadOn,
     Read,
     ServiceReading,
     SetList,
+    StartLoad,
+    StopLoad,
 )
 from rainturn.emulator.gateway_roles import ClientRole, HollowRole
 from rainturn.emulator.hollow import Addresses
@@ -117,7 +117,7 @@
         counted: dict[str, ServiceReading] = {kind: c.ask(Read()) for kind, c in self.counters.items()}
         hollow: list[HollowReading] = ask_all(self.hollow, Read())
         client: ClientReading = self.client.ask(Read())
-        real_s = sum(gateway.spent().cpu_s for gateway in self.real)
+        real_s = sum(gateway.resource_usage().cpu_s for gateway in self.real)
         cpu_s = {HOLLOW: sum(reading.cpu_s for reading in hollow), REAL: real_s}
         requests = {HOLLOW: sum(h.requests for h in hollow), REAL: client.requests}
         return {
@@ -142,7 +142,7 @@
     def relist(self, hosts: int) -> None:
         """Begin anew with so many hosts; all gateways get the whole list."""
         self.discovery.ask(SetList(hosts, self.dials))
-        self.discovery.ask(ChangeOne(0, watchers=2 * EACH))
+        self.discovery.ask(ChangeHosts(0, watchers=2 * EACH))
 
     def quiet(self, seconds: float) -> dict[str, Window]:
         """A window with neither changes nor requests."""
@@ -154,18 +154,18 @@
     def changing(self, changes: int) -> dict[str, Window]:
         """A window with changes, each once all have the one before."""
         before, began = self.read(), time.monotonic()
-        self.discovery.ask(ChangeOne(changes, watchers=2 * EACH))
+        self.discovery.ask(ChangeHosts(changes, watchers=2 * EACH))
         return self.since(before, began)
 
     def loaded(self, per_gateway: float, seconds: float, dry: bool = False) -> dict[str, Window]:
         """A window with so many requests a second at each gateway; dry: at none, but drawn and made."""
         options = self.lab.options
-        load = LoadOn(per_gateway * EACH, min(options.tenants, 2000), EACH, options.seed, dry)
+        load = StartLoad(per_gateway * EACH, min(options.tenants, 2000), EACH, options.seed, dry)
         drawing = self.hollow if dry else [*self.hollow, self.client]
         ask_all(drawing, load)
         time.sleep(self.lab.settle_s)
         window = self.quiet(seconds)
-        ask_all(drawing, LoadOff())
+        ask_all(drawing, StopLoad())
         time.sleep(self.lab.settle_s / 3)
         return window
 
--- a/rainturn/emulator/control_series.py
+++ b/rainturn/emulator/control_series.py
@@ -8,17 +8,17 @@
 from functools import partial
 
 from rainturn.emulator.commands import (
-    Changed,
-    ChangeOne,
+    ChangeHosts,
+    ChangeZone,
     HollowReading,
     Join,
     Joined,
+    ListChange,
     Listen,
     Read,
     ServiceReading,
     SetList,
     WatchStalls,
-    Zone,
 )
 from rainturn.emulator.gateway_roles import HollowRole
 from rainturn.emulator.hollow import Addresses
@@ -82,17 +82,17 @@
     lab.check()
     services.discovery.ask(SetList(hosts, UNUSED_DIALS))
     with lab.worker(partial(HollowRole, 1, services.addresses, lab.options.seed)) as worker:
-        held, before, sent = worker.held_mb(), worker.ask(Read()), services.traffic_bytes()
+        held, before, sent = worker.memory_mb(), worker.ask(Read()), services.traffic_bytes()
         joined: Joined = worker.ask(Join((0,)))
         after, list_bytes = worker.ask(Read()), services.traffic_bytes() - sent
-        list_held = worker.held_mb() - held
+        list_held = worker.memory_mb() - held
         idle = idle_cpu(worker, idle_s)
         sent, began, used = services.traffic_bytes(), time.monotonic(), cpu_s(worker)
-        services.discovery.ask(ChangeOne(changes, watchers=1))
+        services.discovery.ask(ChangeHosts(changes, watchers=1))
         used = cpu_s(worker) - used - idle * (time.monotonic() - began)
         change_bytes = services.traffic_bytes() - sent
         worker.ask(WatchStalls(True))
-        services.discovery.ask(ChangeOne(changes, watchers=1))
+        services.discovery.ask(ChangeHosts(changes, watchers=1))
         stalls: Stalls = worker.ask(WatchStalls(False))
     return {
         IDLE_CPU.name: idle * 1000,
@@ -100,8 +100,8 @@
         LIST_BYTES.name: float(list_bytes),
         CHANGE_CPU.name: max(0.0, used) * 1000 / changes,
         CHANGE_BYTES.name: change_bytes / changes,
-        CHANGE_STALL.name: stalls.used_ms,
-        CHANGE_GAP.name: stalls.passed_ms,
+        CHANGE_STALL.name: stalls.cpu_ms,
+        CHANGE_GAP.name: stalls.wall_ms,
         HELD.name: list_held,
         PEAK.name: after.peak_mb - before.peak_mb,
     }
@@ -112,29 +112,29 @@
     services.discovery.ask(SetList(hosts, UNUSED_DIALS))
     over_s = min(ZONE_WITHIN_S, 3.5 * lab.options.window_s)
     back = {
-        "one_list": Zone(ZONE_PART, lost=False),
-        "single_changes": Zone(ZONE_PART, lost=False, as_one=False, watchers=1),
-        "stream_of_changes": Zone(ZONE_PART, lost=False, as_one=False, over_s=over_s),
+        "one_list": ChangeZone(ZONE_PART, lost=False),
+        "single_changes": ChangeZone(ZONE_PART, lost=False, as_one_version=False, watchers=1),
+        "stream_of_changes": ChangeZone(ZONE_PART, lost=False, as_one_version=False, duration_s=over_s),
     }[how]
     with lab.worker(partial(HollowRole, 1, services.addresses, lab.options.seed)) as worker:
         worker.ask(Join((0,)))
         idle = idle_cpu(worker, lab.settle_s)
-        services.discovery.ask(Zone(ZONE_PART, lost=True))
+        services.discovery.ask(ChangeZone(ZONE_PART, lost=True))
         time.sleep(lab.settle_s)
         worker.ask(WatchStalls(True))
         used, began = cpu_s(worker), time.monotonic()
-        changed: Changed = services.discovery.ask(back, within_s=max(60.0, lab.left_s()))
+        changed: ListChange = services.discovery.ask(back, timeout_s=max(60.0, lab.left_s()))
         time.sleep(lab.settle_s)
         used = cpu_s(worker) - used - idle * (time.monotonic() - began)
         stalls: Stalls = worker.ask(WatchStalls(False))
     note = f"{round(hosts * ZONE_PART)} of {hosts} hosts return cold in {changed.versions} versions"
-    if back.over_s:
+    if back.duration_s:
         note += f" over {over_s:g} s"
     name = f"zone back, {how.replace('_', ' ')}"
     return [
         Fault(name, "gateway_cpu", "ms", max(0.0, used) * 1000, note),
-        Fault(name, "longest_stall", "ms", stalls.used_ms, note),
-        Fault(name, "longest_gap", "ms", stalls.passed_ms, note),
+        Fault(name, "longest_stall", "ms", stalls.cpu_ms, note),
+        Fault(name, "longest_gap", "ms", stalls.wall_ms, note),
     ]
 
 
--- a/rainturn/emulator/counter_service.py
+++ b/rainturn/emulator/counter_service.py
@@ -11,16 +11,16 @@
 
 from rainturn.emulator.traffic import LOOPBACK, Traffic
 
-MOST_LIFE_MS = 60_000
-MOST_AMOUNT = 1e9
-MOST_NAME = 64  # bytes
+MAX_TTL_MS = 60_000
+MAX_AMOUNT = 1e9
+MAX_NAME_BYTES = 64  # bytes
 IDLE_S = 10.0
-CONNECTIONS = 32  # of one caller's address; further ones are reset
+MAX_CONNECTIONS = 32  # of one caller's address; further ones are reset
 SWEEP_S = 5.0  # how often names whose life is over are dropped
 OK, PONG, BUSY = b"+OK\r\n", b"+PONG\r\n", b"-BUSY\r\n"
 
 
-class Numbers:
+class CountStore:
     """The counter's numbers: each is forgotten when its life is over, which later calls do not extend."""
 
     def __init__(self) -> None:
@@ -33,7 +33,7 @@
         """Add to a name at a time in s, and return the total."""
         total, until = self._held.get(name, (0.0, -math.inf))
         if now >= until:
-            total, until = 0.0, now + min(MOST_LIFE_MS, life_ms) / 1000
+            total, until = 0.0, now + min(MAX_TTL_MS, life_ms) / 1000
         self._held[name] = total + amount, until
         return total + amount
 
@@ -106,18 +106,18 @@
             return PONG
         if verb in (b"CLIENT", b"SELECT"):
             return OK
-        if verb != b"ADDGET" or len(words) != 4 or not 1 <= len(words[1]) <= MOST_NAME:
+        if verb != b"ADDGET" or len(words) != 4 or not 1 <= len(words[1]) <= MAX_NAME_BYTES:
             return b"-ERR no such call\r\n"
-        if not self.service.open:
+        if not self.service.accepts_calls:
             self.traffic.refused += 1
             return BUSY
         try:
             amount, life_ms = float(words[2]), int(words[3])
         except ValueError:
             return b"-ERR not a number\r\n"
-        if not abs(amount) <= MOST_AMOUNT or life_ms < 1:
+        if not abs(amount) <= MAX_AMOUNT or life_ms < 1:
             return b"-ERR out of range\r\n"
-        text = b"%.7g" % self.service.numbers.add(words[1], amount, life_ms, now)
+        text = b"%.7g" % self.service.counts.add(words[1], amount, life_ms, now)
         return b"$%d\r\n%s\r\n" % (len(text), text)
 
     def connection_lost(self, error: Exception | None) -> None:
@@ -128,14 +128,15 @@
 class CounterService:
     """Answers gateways at one or more addresses, which share the numbers.
 
-    `calls_per_second` is how many calls it serves, one after another; 0: as fast as they come. `per_caller`
-    bounds the connections of one address; all gateways of one machine share theirs, so a scale run lifts it.
+    `calls_per_second` is the rate at which calls are answered, one after another; 0 means without a limit.
+    `max_per_caller` limits the connections from one address. All gateways of one machine share an address, so
+    a scale run lifts this limit.
     """
 
-    def __init__(self, calls_per_second: float = 0.0, per_caller: int = CONNECTIONS) -> None:
-        self.calls_per_second, self.per_caller = calls_per_second, per_caller
-        self.open = True  # until the run begins a counter turns all calls away
-        self.numbers = Numbers()
+    def __init__(self, calls_per_second: float = 0.0, max_per_caller: int = MAX_CONNECTIONS) -> None:
+        self.calls_per_second, self.max_per_caller = calls_per_second, max_per_caller
+        self.accepts_calls = True  # until the run begins a counter turns all calls away
+        self.counts = CountStore()
         self.connections: dict[str, set[CounterConnection]] = {}
         self.traffic: dict[str, Traffic] = {}
         self.servers: list[asyncio.Server] = []
@@ -164,7 +165,7 @@
     def _sweep(self) -> None:
         loop = asyncio.get_running_loop()
         now = loop.time()
-        self.numbers.sweep(now)
+        self.counts.sweep(now)
         for held in self.connections.values():
             for connection in [c for c in held if now - c.heard_at > IDLE_S - SWEEP_S]:
                 connection.transport.close()
@@ -173,7 +174,7 @@
     def take(self, connection: CounterConnection) -> bool:
         """Whether a caller may hold one more connection; it is counted then."""
         held = self.connections.setdefault(connection.peer, set())
-        if len(held) >= self.per_caller:
+        if len(held) >= self.max_per_caller:
             return False
         held.add(connection)
         return True
--- a/rainturn/emulator/discovery_service.py
+++ b/rainturn/emulator/discovery_service.py
@@ -11,46 +11,46 @@
 import httptools
 
 from rainturn.emulator.traffic import LOOPBACK, Traffic
-from rainturn.emulator.workload import HostLine
+from rainturn.emulator.workload import HostListEntry
 
-MOST_WAIT_MS = 60_000
+MAX_WAIT_MS = 60_000
 KEPT_VERSIONS = 20_000  # a watch from a version before these gets the whole list
 PATH = "/discovery/hosts"
-GONE = "terminated"
+TERMINATED = "terminated"
 
 
 class HostDirectory:
     """The fleet's hosts by name, a version that each change raises, and which names each version changed."""
 
-    def __init__(self, lines: Sequence[HostLine], version: int = 1) -> None:
+    def __init__(self, lines: Sequence[HostListEntry], version: int = 1) -> None:
         self.version = version
-        self.lines = {line.host: line for line in lines}
-        self._encoded = {line.host: line.encoded() for line in lines}
+        self.entries = {line.host: line for line in lines}
+        self._encoded = {line.host: line.encode() for line in lines}
         self._changes: deque[tuple[int, tuple[str, ...]]] = deque(maxlen=KEPT_VERSIONS)
         self._bodies: dict[int, bytes] = {}  # answers to watches from a version, and -1: the whole list
 
-    def change(self, lines: Sequence[HostLine]) -> int:
+    def change(self, lines: Sequence[HostListEntry]) -> int:
         """Take lines over as one new version; a host that is gone is told once, then left out."""
         self.version += 1
         for line in lines:
-            self._encoded[line.host] = line.encoded()
-            if line.health == GONE:
-                self.lines.pop(line.host, None)
+            self._encoded[line.host] = line.encode()
+            if line.health == TERMINATED:
+                self.entries.pop(line.host, None)
             else:
-                self.lines[line.host] = line
+                self.entries[line.host] = line
         self._changes.append((self.version, tuple(line.host for line in lines)))
         self._bodies.clear()
         return self.version
 
-    def whole(self) -> bytes:
+    def whole_list(self) -> bytes:
         """The answer that holds the whole list."""
-        return self._body(-1, True, list(self.lines))
+        return self._body(-1, True, list(self.entries))
 
-    def since(self, version: int) -> bytes:
+    def changes_since(self, version: int) -> bytes:
         """The answer to a watch from a version on: what changed, or the whole list if that is not known."""
         oldest = self._changes[0][0] - 1 if self._changes else self.version
         if not oldest <= version <= self.version:
-            return self.whole()
+            return self.whole_list()
         if version in self._bodies:
             return self._bodies[version]
         names: dict[str, None] = {}
@@ -60,7 +60,7 @@
             names.update(dict.fromkeys(changed))
         return self._body(version, False, list(names))
 
-    def is_whole(self, body: bytes) -> bool:
+    def is_whole_list(self, body: bytes) -> bool:
         """Whether an answer is the present whole list."""
         return body is self._bodies.get(-1)
 
@@ -107,7 +107,7 @@
 
     def answer(self, body: bytes, status: bytes = b"200 OK") -> None:
         """Write an answer."""
-        self.rest()
+        self.stop_waiting()
         if self.transport.is_closing():
             return
         data = b"HTTP/1.1 %s\r\nContent-Type: application/json\r\nContent-Length: %d\r\n\r\n%s" % (
@@ -117,10 +117,10 @@
         )
         self.traffic.messages_out += 1
         self.traffic.bytes_out += len(data)
-        self.traffic.whole_lists += self.service.directory.is_whole(body)
+        self.traffic.whole_lists += self.service.directory.is_whole_list(body)
         self.transport.write(data)
 
-    def rest(self) -> None:
+    def stop_waiting(self) -> None:
         """Wait for nothing any more."""
         self.service.watchers.discard(self)
         self.watched = None
@@ -130,7 +130,7 @@
 
     def connection_lost(self, error: Exception | None) -> None:
         """The caller has gone."""
-        self.rest()
+        self.stop_waiting()
 
 
 class DiscoveryService:
@@ -140,7 +140,7 @@
     service. `silent` means that nothing is answered at all.
     """
 
-    def __init__(self, lines: Sequence[HostLine], answer_ms: float = 0.0) -> None:
+    def __init__(self, lines: Sequence[HostListEntry], answer_ms: float = 0.0) -> None:
         self.directory = HostDirectory(lines)
         self.answer_ms = answer_ms
         self.silent = False
@@ -173,7 +173,7 @@
             return connection.answer(b"", b"404 Not Found")
         try:
             index = int(query["index"][0]) if "index" in query else None
-            wait_ms = min(MOST_WAIT_MS, int(query.get("wait", ["0"])[0]))
+            wait_ms = min(MAX_WAIT_MS, int(query.get("wait", ["0"])[0]))
         except ValueError:
             return connection.answer(b"", b"400 Bad Request")
         if index != self.directory.version or wait_ms <= 0:
@@ -184,12 +184,12 @@
         loop = asyncio.get_running_loop()
         connection.timer = loop.call_later(wait_ms / 1000, self._answer, connection, index)
 
-    def change(self, lines: Sequence[HostLine]) -> None:
+    def change(self, lines: Sequence[HostListEntry]) -> None:
         """Change the list and tell all watchers."""
         self.directory.change(lines)
         self._tell()
 
-    def replace(self, lines: Sequence[HostLine]) -> None:
+    def replace(self, lines: Sequence[HostListEntry]) -> None:
         """Begin another list, of which no earlier version is known, and tell all watchers."""
         self.directory = HostDirectory(lines, self.directory.version + 1)
         self._tell()
@@ -199,7 +199,7 @@
             for connection in list(self.watchers):
                 self._answer(connection, connection.watched)
 
-    async def watched(self, count: int) -> None:
+    async def wait_for_watchers(self, count: int) -> None:
         """Wait until so many callers have the present version and wait for news."""
         while len(self.watchers) < count:
             self._reached.clear()
@@ -208,7 +208,7 @@
     def _answer(self, connection: DiscoveryConnection, index: int | None) -> None:
         if not self.answer_ms:
             return connection.answer(self._news(index))
-        connection.rest()
+        connection.stop_waiting()
         self._queue.append((connection, index))
         if len(self._queue) == 1:
             self._serve_next()
@@ -226,7 +226,7 @@
         self._serve_next()
 
     def _news(self, index: int | None) -> bytes:
-        return self.directory.whole() if index is None else self.directory.since(index)
+        return self.directory.whole_list() if index is None else self.directory.changes_since(index)
 
     def close(self) -> None:
         """Listen no more, and end the connections that wait."""
--- a/rainturn/emulator/fleet.py
+++ b/rainturn/emulator/fleet.py
@@ -9,16 +9,16 @@
 
 from rainturn.emulator.commands import (
     AwaitVersion,
-    Changed,
     HollowReading,
     Join,
     Joined,
     Leave,
+    ListChange,
     Listen,
-    LoadOff,
-    LoadOn,
     Read,
     ServiceReading,
+    StartLoad,
+    StopLoad,
 )
 from rainturn.emulator.gateway_roles import HollowRole
 from rainturn.emulator.hollow import Addresses
@@ -104,21 +104,21 @@
             worker.receive()
             self.numbers = [number for number in self.numbers if number not in share]
 
-    def in_force(self, changed: Changed, within_s: float) -> list[float]:
+    def in_force(self, changed: ListChange, within_s: float) -> list[float]:
         """How long after a change each gateway has it, in s; gateways that do not get it are left out."""
         answers = ask_all(
-            self.hollow, AwaitVersion(changed.version, changed.at, within_s), within_s=within_s + 20
+            self.hollow, AwaitVersion(changed.version, changed.started_at, within_s), timeout_s=within_s + 20
         )
         return sorted(took for times in answers for took in times)
 
     def load(self, requests_per_second: float, tenants: int) -> None:
         """Begin to draw requests for a whole fleet of the present number of gateways."""
         options = self.lab.options
-        ask_all(self.hollow, LoadOn(requests_per_second, tenants, len(self.numbers), options.seed))
+        ask_all(self.hollow, StartLoad(requests_per_second, tenants, len(self.numbers), options.seed))
 
     def unload(self) -> None:
         """Draw no more."""
-        ask_all(self.hollow, LoadOff())
+        ask_all(self.hollow, StopLoad())
 
     def read(self) -> FleetReading:
         """What has been done so far."""
--- a/rainturn/emulator/fleet_faults.py
+++ b/rainturn/emulator/fleet_faults.py
@@ -6,7 +6,7 @@
 from collections.abc import Sequence
 from functools import partial
 
-from rainturn.emulator.commands import Changed, ChangeOne, Slow, Zone
+from rainturn.emulator.commands import ChangeHosts, ChangeZone, ListChange, SetAnswerTime
 from rainturn.emulator.control_series import ZONE_PART
 from rainturn.emulator.fleet import Fleet, FleetReading
 from rainturn.emulator.lab import Lab
@@ -43,12 +43,12 @@
     lost = everyone[: max(1, round(ZONE_PART * len(everyone)))]
     before = fleet.read()
     fleet.leave(lost)
-    gone: Changed = fleet.discovery.ask(Zone(ZONE_PART, lost=True))
+    gone: ListChange = fleet.discovery.ask(ChangeZone(ZONE_PART, lost=True))
     took_s = _took(fleet.in_force(gone, WITHIN_S), len(fleet.numbers))
     note = f"{len(lost)} of {len(everyone)} gateways and a twelfth of the hosts, one version"
     found = _cost(fleet, before, "zone lost", note, took_s)
     before = fleet.read()
-    back: Changed = fleet.discovery.ask(Zone(ZONE_PART, lost=False))
+    back: ListChange = fleet.discovery.ask(ChangeZone(ZONE_PART, lost=False))
     joined = fleet.join(lost)
     took_s = max(joined.took_s, _took(fleet.in_force(back, WITHIN_S), len(fleet.numbers)))
     return found + _cost(fleet, before, "zone back", note, took_s)
@@ -70,17 +70,17 @@
 def play_slow_service(lab: Lab, fleet: Fleet) -> list[Fault]:
     """Discovery takes long for each answer: a change, and then a restart storm."""
     lab.check()
-    fleet.discovery.ask(Slow(SLOW_MS))
+    fleet.discovery.ask(SetAnswerTime(SLOW_MS))
     try:
         time.sleep(lab.settle_s)
         before = fleet.read()
-        changed: Changed = fleet.discovery.ask(ChangeOne(1, every_s=0.001))
+        changed: ListChange = fleet.discovery.ask(ChangeHosts(1, interval_s=0.001))
         took_s = _took(fleet.in_force(changed, WITHIN_S), len(fleet.numbers))
         note = f"{SLOW_MS:g} ms for each answer, {len(fleet.numbers)} gateways"
         found = _cost(fleet, before, "slow list service, one change", note, took_s)
         found += play_restarts(lab, fleet, "slow list service, restart storm")
     finally:
-        fleet.discovery.ask(Slow(0.0))
+        fleet.discovery.ask(SetAnswerTime(0.0))
     return found
 
 
--- a/rainturn/emulator/fleet_series.py
+++ b/rainturn/emulator/fleet_series.py
@@ -6,7 +6,7 @@
 from collections.abc import Mapping
 from dataclasses import dataclass
 
-from rainturn.emulator.commands import Changed, ChangeOne, SetList
+from rainturn.emulator.commands import ChangeHosts, ListChange, SetList
 from rainturn.emulator.control_series import UNUSED_DIALS
 from rainturn.emulator.fleet import Fleet
 from rainturn.emulator.lab import Lab
@@ -71,7 +71,7 @@
     before = fleet.read()
     in_force_s: list[float] = []
     for _ in range(plan.changes):
-        changed: Changed = fleet.discovery.ask(ChangeOne(1, every_s=0.001))
+        changed: ListChange = fleet.discovery.ask(ChangeHosts(1, interval_s=0.001))
         reached = fleet.in_force(changed, IN_FORCE_WITHIN_S)
         in_force_s.append(reached[-1] if len(reached) == gateways else IN_FORCE_WITHIN_S)
     changing = fleet.since(before)
--- a/rainturn/emulator/gateway_roles.py
+++ b/rainturn/emulator/gateway_roles.py
@@ -9,7 +9,7 @@
 from pathlib import Path
 from typing import Any
 
-from rainturn.emulator.client_load import GatewayFront, says_pong
+from rainturn.emulator.client_load import GatewayClients, answers_ping
 from rainturn.emulator.commands import (
     AwaitReady,
     AwaitVersion,
@@ -18,14 +18,14 @@
     Join,
     Joined,
     Leave,
-    LoadOff,
-    LoadOn,
+    StartLoad,
+    StopLoad,
     WatchStalls,
 )
 from rainturn.emulator.hollow import Addresses, HollowGateway
 from rainturn.emulator.load import OpenLoop
 from rainturn.emulator.stalls import StallWatch
-from rainturn.emulator.workload import Draw, Tenants
+from rainturn.emulator.workload import DrawnRequest, Tenants
 
 POLL_S = 0.02  # how often a hollow process looks whether its gateways have a version
 
@@ -62,15 +62,15 @@
             return self.stalls.start() if command.on else self.stalls.stop()
         if isinstance(command, AwaitVersion):
             return await self._await_version(command)
-        if isinstance(command, LoadOn):
+        if isinstance(command, StartLoad):
             return self._load_on(command)
-        if isinstance(command, LoadOff):
+        if isinstance(command, StopLoad):
             if self.load is not None:
                 self.load.stop()
             return None
         ended: dict[str, int] = {}
         for gateway in self.gateways.values():
-            for ending, count in gateway.client.ended_as.items():
+            for ending, count in gateway.client.outcome_counts.items():
                 ended[ending] = ended.get(ending, 0) + count
         return HollowReading(time.process_time(), self.requests, ended, peak_memory_mb())
 
@@ -82,7 +82,7 @@
             self.gateways[number] = gateway
             gateway.start()
         waiting = set(command.numbers)
-        while waiting and time.monotonic() - began < command.within_s:
+        while waiting and time.monotonic() - began < command.timeout_s:
             waiting = {number for number in waiting if not self.gateways[number].version}
             await asyncio.sleep(POLL_S if waiting else 0)
         joined = Joined(time.monotonic() - began, time.process_time() - used, len(waiting))
@@ -93,7 +93,7 @@
     async def _await_version(self, command: AwaitVersion) -> list[float]:
         waiting = set(self.gateways)
         times: list[float] = []
-        until = time.monotonic() + command.within_s
+        until = time.monotonic() + command.timeout_s
         while waiting and time.monotonic() < until:
             reached = {n for n in waiting if self.gateways[n].version >= command.version}
             times += [time.monotonic() - command.since] * len(reached)
@@ -101,23 +101,23 @@
             await asyncio.sleep(POLL_S if waiting else 0)
         return times
 
-    def _load_on(self, command: LoadOn) -> None:
+    def _load_on(self, command: StartLoad) -> None:
         tenants = Tenants(command.tenants, command.gateways, command.requests_per_second, command.seed)
         take = self._take_dry if command.dry else self._take
         self.load = OpenLoop(tenants, command.requests_per_second, command.seed + self.seed, take)
         self.load.start()
 
-    def _take(self, draw: Draw) -> None:
+    def _take(self, draw: DrawnRequest) -> None:
         gateway = self.gateways.get(draw.gateway)
         if gateway is not None:
             self.requests += 1
-            gateway.request(draw)
+            gateway.submit(draw)
 
-    def _take_dry(self, draw: Draw) -> None:
+    def _take_dry(self, draw: DrawnRequest) -> None:
         gateway = self.gateways.get(draw.gateway)
         if gateway is not None:
             self.requests += 1
-            gateway.make(draw)
+            gateway.make_request(draw)
 
     async def stop(self) -> None:
         """End all gateways."""
@@ -133,7 +133,7 @@
 
     def __init__(self, seed: int) -> None:
         self.seed = seed
-        self.fronts: dict[int, GatewayFront] = {}
+        self.fronts: dict[int, GatewayClients] = {}
         self.requests = 0
         self.load: OpenLoop | None = None
 
@@ -144,30 +144,30 @@
         """Carry out a command."""
         if isinstance(command, AwaitReady):
             return await self._await_ready(command)
-        if isinstance(command, LoadOn):
+        if isinstance(command, StartLoad):
             tenants = Tenants(command.tenants, command.gateways, command.requests_per_second, command.seed)
             self.load = OpenLoop(tenants, command.requests_per_second, command.seed + self.seed, self._take)
             return self.load.start()
-        if isinstance(command, LoadOff):
+        if isinstance(command, StopLoad):
             if self.load is not None:
                 self.load.stop()
             return None
         return self._read()
 
     async def _await_ready(self, command: AwaitReady) -> bool:
-        until = time.monotonic() + command.within_s
+        until = time.monotonic() + command.timeout_s
         waiting = dict(command.addresses)
         while waiting and time.monotonic() < until:
             for number, address in list(waiting.items()):
-                if await says_pong(address):
+                if await answers_ping(address):
                     del waiting[number]
             await asyncio.sleep(POLL_S)
         for front in self.fronts.values():
             front.close()
-        self.fronts = {number: GatewayFront(address) for number, address in command.addresses.items()}
+        self.fronts = {number: GatewayClients(address) for number, address in command.addresses.items()}
         return not waiting
 
-    def _take(self, draw: Draw) -> None:
+    def _take(self, draw: DrawnRequest) -> None:
         front = self.fronts.get(draw.gateway)
         if front is not None:
             self.requests += 1
@@ -178,13 +178,13 @@
         added = None
         ended: dict[str, int] = {}
         for front in self.fronts.values():
-            for ending, count in front.ended_as.items():
+            for ending, count in front.outcome_counts.items():
                 ended[ending] = ended.get(ending, 0) + count
             if added is None:
                 added = front.added_us
             else:
                 added.add(front.added_us)
-            front.ended_as.clear()
+            front.outcome_counts.clear()
         if added is None or not added.get_total_count():
             return ClientReading(self.requests, ended, 0.0, 0.0, 0.0)
         reading = ClientReading(
--- a/rainturn/emulator/hollow.py
+++ b/rainturn/emulator/hollow.py
@@ -14,8 +14,8 @@
     CLASSES,
     IDLE_LIMIT_MS,
     PLANS,
-    Draw,
-    draw_host_ms,
+    DrawnRequest,
+    draw_service_time_ms,
     wire_settings,
     zone_names,
 )
@@ -42,8 +42,8 @@
     """Takes the answers of a hollow gateway's requests and counts how they ended."""
 
     def __init__(self) -> None:
-        self.ended_as: Tally[str] = Tally()
-        self.refusing: Callable[[Request], None] | None = None  # called with each request that is refused
+        self.outcome_counts: Tally[str] = Tally()
+        self.on_refusal: Callable[[Request], None] | None = None  # called with each request that is refused
 
     def is_connected(self) -> bool:
         """A synthetic client never leaves early."""
@@ -51,17 +51,17 @@
 
     def send_value(self, request: Request, value: bytes) -> None:
         """Count a request that was served."""
-        self.ended_as["served"] += 1
+        self.outcome_counts["served"] += 1
 
     def send_refusal(self, request: Request, backoff_ms: float, until: float) -> None:
         """Count a refusal."""
-        self.ended_as["refused"] += 1
-        if self.refusing is not None:
-            self.refusing(request)
+        self.outcome_counts["refused"] += 1
+        if self.on_refusal is not None:
+            self.on_refusal(request)
 
     def send_failure(self, request: Request) -> None:
         """Count a failure."""
-        self.ended_as["failed"] += 1
+        self.outcome_counts["failed"] += 1
 
     def begin_value(self, request: Request, length: int) -> None:
         """No value of a drawn host is long."""
@@ -80,7 +80,7 @@
         """No value of a drawn host is long."""
 
 
-class DrawnHosts:
+class SimulatedHosts:
     """Ends each attempt as served after a drawn time, without a socket.
 
     `arrived` is called with each request whose first attempt has come whole to a host: there it takes its
@@ -89,15 +89,17 @@
 
     def __init__(self, node: Node, rng: random.Random) -> None:
         self.node, self.rng = node, rng
-        self.arrived: Callable[[Request], None] | None = None
+        self.on_first_attempt: Callable[[Request], None] | None = None
         self.out: dict[Attempt, asyncio.TimerHandle] = {}
 
     def start(self, attempt: Attempt) -> None:
         """Begin an attempt."""
         attempt.connection = self
-        if self.arrived is not None and attempt.number == 0:
-            self.arrived(attempt.request)
-        self.out[attempt] = self.node.loop.call_later(draw_host_ms(self.rng) / 1000, self._end, attempt)
+        if self.on_first_attempt is not None and attempt.number == 0:
+            self.on_first_attempt(attempt.request)
+        self.out[attempt] = self.node.loop.call_later(
+            draw_service_time_ms(self.rng) / 1000, self._end, attempt
+        )
 
     def _end(self, attempt: Attempt) -> None:
         self.out.pop(attempt, None)
@@ -130,7 +132,7 @@
         self.node = Node(settings, seed, clock or Clock(), loop)
         # The list is held as in a real gateway; nothing connects through these pools.
         pools = HostPools(self.node, IDLE_LIMIT_MS, 0)
-        self.hosts = self.node.hosts = DrawnHosts(self.node, self.rng)
+        self.hosts = self.node.hosts = SimulatedHosts(self.node, self.rng)
         self.counter = self.node.counter = Counter(self.node, addresses.counter)
         self.discovery = Discovery(self.node, pools, tuple(zone_names()), addresses.discovery, seed)
         self.client = SyntheticClient()
@@ -144,15 +146,15 @@
         """The version of the host list in force; 0 before the first."""
         return self.discovery.seq or 0
 
-    def request(self, draw: Draw) -> None:
+    def submit(self, draw: DrawnRequest) -> None:
         """Take one synthetic request."""
-        self.node.arrived(self.make(draw))
+        self.node.arrived(self.make_request(draw))
 
-    def make(self, draw: Draw) -> Request:
+    def make_request(self, draw: DrawnRequest) -> Request:
         """A synthetic request as the node holds it, with the words that hosts would get."""
         self.node.serial += 1
         until = self.node.clock.now() + DEADLINE_MS
-        return thin_request(self.node.serial, draw, until, self.client)
+        return build_request(self.node.serial, draw, until, self.client)
 
     async def stop(self) -> None:
         """Watch no more and leave the counter."""
@@ -162,19 +164,19 @@
             connection.close()
 
 
-def thin_request(number: int, draw: Draw, until: float, client: SyntheticClient) -> Request:
+def build_request(number: int, draw: DrawnRequest, until: float, client: SyntheticClient) -> Request:
     """A request as the node holds it, with the words that hosts would get."""
     tenant = draw.tenant
     arrival = it.Arrived(
         number, until, tenant.customer, tenant.plan, draw.kind, draw.units, float(tenant.spread)
     )
-    return Request(arrival, until, request_words(number, draw), b"", b"", client, VALUE_SIZE)
+    return Request(arrival, until, request_words(number, draw), b"", b"", client, REQUEST_BYTES)
 
 
-VALUE_SIZE = 300  # bytes that a request's words hold
+REQUEST_BYTES = 300  # bytes that a request's words hold
 
 
-def request_words(number: int, draw: Draw) -> list[bytes]:
+def request_words(number: int, draw: DrawnRequest) -> list[bytes]:
     """The command that a client would send for a drawn request."""
     tenant, kind = draw.tenant, CLASSES[draw.kind]
     key = b"k=%016x," % number if kind.effect == "dedup" else b""
--- a/rainturn/emulator/host_service.py
+++ b/rainturn/emulator/host_service.py
@@ -10,8 +10,8 @@
 
 import hiredis
 
-from rainturn.emulator.traffic import LOOPBACK, Traffic, dial
-from rainturn.emulator.workload import draw_host_ms
+from rainturn.emulator.traffic import LOOPBACK, Traffic, format_address
+from rainturn.emulator.workload import draw_service_time_ms
 
 VERBS = (b"API.READ", b"API.WRITE")
 VALUE_BYTES = 200  # the value: the time at the host in µs, filled up with zeros
@@ -49,7 +49,7 @@
         verb = words[0].upper() if isinstance(words, list) and words and isinstance(words[0], bytes) else b""
         if verb in VERBS:
             began = time.perf_counter()
-            delay_ms = draw_host_ms(self.service.rng)
+            delay_ms = draw_service_time_ms(self.service.rng)
             asyncio.get_running_loop().call_later(delay_ms / 1000, self._served, slot, began)
         elif verb == b"PING":
             self._give(slot, b"+PONG\r\n")
@@ -91,7 +91,7 @@
         for _ in range(ports):
             server = await loop.create_server(lambda: HostConnection(self), LOOPBACK, 0, backlog=4096)
             self.servers.append(server)
-        return tuple(dial(server.sockets[0].getsockname()) for server in self.servers)
+        return tuple(format_address(server.sockets[0].getsockname()) for server in self.servers)
 
     def close(self) -> None:
         """Listen no more, and end all connections."""
--- a/rainturn/emulator/lab.py
+++ b/rainturn/emulator/lab.py
@@ -13,7 +13,7 @@
 import psutil
 
 from rainturn.emulator.real_gateway import RealGateway
-from rainturn.emulator.workers import FreshCall, Role, Worker
+from rainturn.emulator.workers import ProcessCall, Role, Worker
 
 MB = 1 << 20
 MEMORY_PART = 0.5  # of the machine's memory that a run may hold
@@ -21,7 +21,7 @@
 SAMPLE_S = 0.25
 
 
-T = TypeVar("T", Worker, FreshCall, RealGateway)
+T = TypeVar("T", Worker, ProcessCall, RealGateway)
 
 
 class OverBudget(Exception):
@@ -55,7 +55,7 @@
         self.peak_mb = 0.0
         self.over_memory = False
         self._limit_mb = MEMORY_PART * psutil.virtual_memory().total / MB
-        self._running: dict[int, Worker | FreshCall | RealGateway] = {}
+        self._running: dict[int, Worker | ProcessCall | RealGateway] = {}
         self._lock = threading.Lock()
         self._over = threading.Event()
         self._sampler = threading.Thread(target=self._sample, daemon=True)
@@ -107,7 +107,7 @@
             self.processes += 1
         return started
 
-    def end(self, *started: Worker | FreshCall | RealGateway) -> None:
+    def end(self, *started: Worker | ProcessCall | RealGateway) -> None:
         """End processes before the run ends."""
         for process in started:
             process.stop()
@@ -127,11 +127,11 @@
         """Start a worker; the caller waits for `ready`."""
         return self._begin(lambda: Worker(make))
 
-    def fresh(self, function: Callable[..., Any], *arguments: Any) -> FreshCall:
+    def fresh(self, function: Callable[..., Any], *arguments: Any) -> ProcessCall:
         """Call a function in a new process."""
-        return self._begin(lambda: FreshCall(function, *arguments))
+        return self._begin(lambda: ProcessCall(function, *arguments))
 
-    def result(self, call: FreshCall) -> Any:
+    def result(self, call: ProcessCall) -> Any:
         """What a call in a new process returns; the process ends."""
         try:
             return call.result(max(1.0, self.left_s()))
--- a/rainturn/emulator/load.py
+++ b/rainturn/emulator/load.py
@@ -7,7 +7,7 @@
 import time
 from collections.abc import Callable
 
-from rainturn.emulator.workload import Draw, Tenants
+from rainturn.emulator.workload import DrawnRequest, Tenants
 
 TICK_S = 0.005  # how often what is due is handed out
 
@@ -24,7 +24,7 @@
         tenants: Tenants,
         requests_per_second: float,
         seed: int,
-        take: Callable[[Draw], None],
+        take: Callable[[DrawnRequest], None],
         clock: Callable[[], float] = time.monotonic,
     ) -> None:
         self.tenants, self.rate, self.take = tenants, requests_per_second, take
--- a/rainturn/emulator/quota_ledger.py
+++ b/rainturn/emulator/quota_ledger.py
@@ -12,19 +12,19 @@
 class Units:
     """Units of tries that came to a host, those beyond quotas, and those refused though there was room."""
 
-    let_in: float = 0.0
-    beyond: float = 0.0
+    admitted: float = 0.0
+    over_quota: float = 0.0
     refused: float = 0.0
-    refused_with_room: float = 0.0
+    refused_within_quota: float = 0.0
 
-    def beyond_part(self) -> float:
+    def over_quota_fraction(self) -> float:
         """Part of what was let in that was beyond quotas."""
-        return self.beyond / self.let_in if self.let_in else 0.0
+        return self.over_quota / self.admitted if self.admitted else 0.0
 
-    def refused_with_room_part(self) -> float:
+    def refused_within_quota_fraction(self) -> float:
         """Part of all units asked for that was refused though the customer's store held it."""
-        asked = self.let_in + self.refused
-        return self.refused_with_room / asked if asked else 0.0
+        asked = self.admitted + self.refused
+        return self.refused_within_quota / asked if asked else 0.0
 
 
 class QuotaLedger:
@@ -40,20 +40,20 @@
         level, since = self._stores.get(customer, (settings.peak_units, now))
         return min(settings.peak_units, level + settings.per_second * (now - since))
 
-    def let_in(self, group: str, customer: int, plan: int, units: float, now: float) -> None:
+    def record_admitted(self, group: str, customer: int, plan: int, units: float, now: float) -> None:
         """A try has come to a host at a time in s."""
         level = self._level(customer, plan, now)
         tally = self.tallies[self.phase, group]
-        tally.let_in += units
+        tally.admitted += units
         if level >= units:
             level -= units
         else:
-            tally.beyond += units
+            tally.over_quota += units
         self._stores[customer] = level, now
 
-    def refused(self, group: str, customer: int, plan: int, units: float, now: float) -> None:
+    def record_refused(self, group: str, customer: int, plan: int, units: float, now: float) -> None:
         """A try was refused."""
         tally = self.tallies[self.phase, group]
         tally.refused += units
         if self._level(customer, plan, now) >= units:
-            tally.refused_with_room += units
+            tally.refused_within_quota += units
--- a/rainturn/emulator/real_gateway.py
+++ b/rainturn/emulator/real_gateway.py
@@ -17,13 +17,13 @@
 import psutil
 
 import rainturn
-from rainturn.emulator.traffic import LOOPBACK, dial
+from rainturn.emulator.traffic import LOOPBACK, format_address
 from rainturn.emulator.workload import wire_settings
 
 ROOT = Path(rainturn.__file__).parent.parent
 MEMORY_MB = 192
 SOCKETS = 1024
-STOP_S = 5.0  # a planned end takes this long at most; then the process is killed
+STOP_TIMEOUT_S = 5.0  # a planned end takes this long at most; then the process is killed
 BUILT_PYTHON = ".venv/bin/python"
 
 
@@ -48,11 +48,11 @@
 
 
 @dataclass(frozen=True)
-class Spent:
+class ResourceUsage:
     """Processor time in s and memory of its own in MB that a process has used so far."""
 
     cpu_s: float
-    held_mb: float
+    memory_mb: float
 
 
 def processor_time_s(pid: int) -> float:
@@ -76,9 +76,9 @@
         self.folder = Path(tempfile.mkdtemp(prefix="rainturn-emulator-"))
         self.source: dict[str, Any] = {
             "name": f"n{number}",
-            "listen": dial(self.address),
-            "discovery": dial(discovery),
-            "counter": dial(counter),
+            "listen": format_address(self.address),
+            "discovery": format_address(discovery),
+            "counter": format_address(counter),
             "seed": f"{seed:016x}",
             "limits": {"cores": 1.0, "memory_mb": MEMORY_MB, "sockets": SOCKETS},
             "settings": wire_settings(number, gateways),
@@ -112,11 +112,13 @@
         self.figures = psutil.Process(self.process.pid)
         self.figures.rlimit(psutil.RLIMIT_NOFILE, (SOCKETS, SOCKETS))
 
-    def spent(self) -> Spent:
+    def resource_usage(self) -> ResourceUsage:
         """What the process has used so far."""
         if self.figures is None:
-            return Spent(0.0, 0.0)
-        return Spent(processor_time_s(self.figures.pid), self.figures.memory_full_info().uss / (1 << 20))
+            return ResourceUsage(0.0, 0.0)
+        return ResourceUsage(
+            processor_time_s(self.figures.pid), self.figures.memory_full_info().uss / (1 << 20)
+        )
 
     def log(self) -> str:
         """What the program has written."""
@@ -128,7 +130,7 @@
         if self.process is not None and self.process.poll() is None:
             self.process.terminate()
             try:
-                self.process.wait(STOP_S)
+                self.process.wait(STOP_TIMEOUT_S)
             except subprocess.TimeoutExpired:
                 self.process.kill()
                 self.process.wait()
--- a/rainturn/emulator/request_series.py
+++ b/rainturn/emulator/request_series.py
@@ -8,13 +8,13 @@
 
 from rainturn.emulator.commands import (
     AwaitReady,
-    ChangeOne,
+    ChangeHosts,
     ClientReading,
     Listen,
-    LoadOff,
-    LoadOn,
     Read,
     SetList,
+    StartLoad,
+    StopLoad,
 )
 from rainturn.emulator.gateway_roles import ClientRole
 from rainturn.emulator.lab import Lab
@@ -66,10 +66,10 @@
         self.dials: tuple[str, ...] = self.host.ready()
         self.at = (self.discovery.ask(Listen(LABEL)), self.counter.ask(Listen(LABEL)))
 
-    def load(self) -> LoadOn:
+    def load(self) -> StartLoad:
         """The load of one gateway."""
         options = self.lab.options
-        return LoadOn(self.rate, min(options.tenants, MOST_TENANTS), 1, options.seed)
+        return StartLoad(self.rate, min(options.tenants, MOST_TENANTS), 1, options.seed)
 
     def read(self) -> ClientReading:
         """What clients saw since the last reading."""
@@ -85,7 +85,7 @@
         self.read()
         time.sleep(seconds)
         reading = self.read()
-        self.client.ask(LoadOff())
+        self.client.ask(StopLoad())
         return reading
 
     def end(self) -> None:
@@ -107,15 +107,15 @@
         idle = _cpu_per_s(gateway, seconds / 2)
         bench.client.ask(bench.load())
         time.sleep(lab.settle_s)
-        before, began, used = bench.read(), time.monotonic(), gateway.spent().cpu_s
+        before, began, used = bench.read(), time.monotonic(), gateway.resource_usage().cpu_s
         time.sleep(seconds)
         quiet = bench.read()
-        used = gateway.spent().cpu_s - used - idle * (time.monotonic() - began)
+        used = gateway.resource_usage().cpu_s - used - idle * (time.monotonic() - began)
         every_s = 1.0 / lab.options.changes_per_second
-        bench.discovery.ask(ChangeOne(max(1, round(seconds / every_s)), every_s=every_s))
+        bench.discovery.ask(ChangeHosts(max(1, round(seconds / every_s)), interval_s=every_s))
         changing = bench.read()
-        bench.client.ask(LoadOff())
-        held_mb = gateway.spent().held_mb
+        bench.client.ask(StopLoad())
+        held_mb = gateway.resource_usage().memory_mb
     finally:
         lab.end(gateway)
     return {
@@ -126,15 +126,15 @@
         ADDED_P99.name: quiet.added_p99_ms,
         CHANGING_P50.name: changing.added_p50_ms,
         CHANGING_P99.name: changing.added_p99_ms,
-        CHANGING_MOST.name: changing.added_most_ms,
+        CHANGING_MOST.name: changing.added_max_ms,
         MEMORY.name: held_mb,
     }
 
 
 def _cpu_per_s(gateway: RealGateway, seconds: float) -> float:
-    used, began = gateway.spent().cpu_s, time.monotonic()
+    used, began = gateway.resource_usage().cpu_s, time.monotonic()
     time.sleep(seconds)
-    return (gateway.spent().cpu_s - used) / (time.monotonic() - began)
+    return (gateway.resource_usage().cpu_s - used) / (time.monotonic() - began)
 
 
 def run_request_series(
--- a/rainturn/emulator/stalls.py
+++ b/rainturn/emulator/stalls.py
@@ -17,8 +17,8 @@
     interpreter's lock while a thread of its own process holds it; the second has both in it.
     """
 
-    used_ms: float = 0.0
-    passed_ms: float = 0.0
+    cpu_ms: float = 0.0
+    wall_ms: float = 0.0
 
 
 class StallWatch:
--- a/rainturn/emulator/traffic.py
+++ b/rainturn/emulator/traffic.py
@@ -7,7 +7,7 @@
 LOOPBACK = "127.0.0.1"
 
 
-def dial(address: tuple[str, int]) -> str:
+def format_address(address: tuple[str, int]) -> str:
     """An address as a configuration and a host list name it."""
     return f"{address[0]}:{address[1]}"
 
--- a/rainturn/emulator/virtual_fleet.py
+++ b/rainturn/emulator/virtual_fleet.py
@@ -14,10 +14,10 @@
 from rainturn.emulator.quota_ledger import QuotaLedger
 from rainturn.emulator.traffic import Traffic
 from rainturn.emulator.virtual_time import VirtualClock, VirtualLoop
-from rainturn.emulator.workload import Draw, Tenants, host_lines
+from rainturn.emulator.workload import DrawnRequest, Tenants, make_host_entries
 from rainturn.node.gateway import Request
 
-DIALS = ("127.0.0.1:9",)  # nothing connects to it
+UNUSED_ADDRESSES = ("127.0.0.1:9",)  # nothing connects to it
 
 
 @dataclass(frozen=True)
@@ -38,12 +38,12 @@
     def __init__(self, loop: VirtualLoop, plan: VirtualPlan) -> None:
         self.loop, self.plan = loop, plan
         self.ledger = QuotaLedger()
-        self.discovery = DiscoveryService(host_lines(plan.hosts, DIALS))
+        self.discovery = DiscoveryService(make_host_entries(plan.hosts, UNUSED_ADDRESSES))
         self.counter = CounterService()
         self.clock = VirtualClock(loop)
         loop.network.listen(("discovery", 1), partial(self.discovery.accept, "all"))
-        self.counter_at = [("counter", region) for region in range(plan.regions)]
-        for region, address in enumerate(self.counter_at):
+        self.counter_addresses = [("counter", region) for region in range(plan.regions)]
+        for region, address in enumerate(self.counter_addresses):
             loop.network.listen(address, partial(self.counter.accept, f"region{region}"))
         self.gateways = [self._gateway(number) for number in range(plan.gateways)]
         self.tenants = Tenants(plan.tenants, plan.gateways, plan.requests_per_second, plan.seed)
@@ -56,12 +56,12 @@
 
     def _gateway(self, number: int) -> HollowGateway:
         region = self.region_of(number)
-        addresses = Addresses(("discovery", 1), self.counter_at[region])
+        addresses = Addresses(("discovery", 1), self.counter_addresses[region])
         gateway = HollowGateway(
             number, self.plan.gateways, addresses, self.plan.seed * 1000 + number, self.clock
         )
-        gateway.hosts.arrived = partial(self._booked, self.ledger.let_in, f"region{region}")
-        gateway.client.refusing = partial(self._booked, self.ledger.refused, f"region{region}")
+        gateway.hosts.on_first_attempt = partial(self._booked, self.ledger.record_admitted, f"region{region}")
+        gateway.client.on_refusal = partial(self._booked, self.ledger.record_refused, f"region{region}")
         return gateway
 
     def _booked(
@@ -70,11 +70,11 @@
         arrival = request.arrival
         book(group, arrival.customer, arrival.plan, arrival.units, self.loop.time())
 
-    def _take(self, draw: Draw) -> None:
+    def _take(self, draw: DrawnRequest) -> None:
         self.requests += 1
-        self.gateways[draw.gateway].request(draw)
+        self.gateways[draw.gateway].submit(draw)
 
-    def counted(self) -> Traffic:
+    def total_counter_traffic(self) -> Traffic:
         """What has passed at the counter, over all regions."""
         total = Traffic()
         for traffic in self.counter.traffic.values():
--- a/rainturn/emulator/virtual_series.py
+++ b/rainturn/emulator/virtual_series.py
@@ -18,7 +18,7 @@
 from rainturn.emulator.quota_ledger import Units
 from rainturn.emulator.virtual_fleet import VirtualFleet, VirtualPlan
 from rainturn.emulator.virtual_time import VirtualLoop, run_virtual
-from rainturn.emulator.workload import Draw, Tenant
+from rainturn.emulator.workload import DrawnRequest, Tenant
 
 MB = 1 << 20
 WARM_S = 10.0  # longer than a window of the counts
@@ -45,9 +45,9 @@
         held = held_mb()
         fleet.load.start()
         await asyncio.sleep(WARM_S)
-        before, requests = fleet.counted(), fleet.requests
+        before, requests = fleet.total_counter_traffic(), fleet.requests
         await asyncio.sleep(seconds)
-        counted, requests = fleet.counted().since(before), fleet.requests - requests
+        counted, requests = fleet.total_counter_traffic().since(before), fleet.requests - requests
         held = held_mb() - held
         await fleet.stop()
         payload = counted.bytes_in + counted.bytes_out
@@ -77,7 +77,7 @@
             due = began + ARRIVE_WITHIN_S * number / plan.tenants
             if due > loop.time():
                 await asyncio.sleep(due - loop.time())
-            gateway.request(Draw(Tenant((1 << 30) + number, 3, 1, 0), 0, 0, 1.0))
+            gateway.submit(DrawnRequest(Tenant((1 << 30) + number, 3, 1, 0), 0, 0, 1.0))
         await asyncio.sleep(SETTLE_S)
         held = held_mb() - held
         await fleet.stop()
@@ -99,10 +99,10 @@
 
 def _faults(name: str, units: Units, note: str) -> list[Fault]:
     figures = (
-        ("units_let_in", "units", units.let_in),
-        ("units_beyond_quotas", "units", units.beyond),
-        ("part_beyond_quotas", "of units let in", units.beyond_part()),
-        ("part_refused_with_room", "of units asked for", units.refused_with_room_part()),
+        ("units_let_in", "units", units.admitted),
+        ("units_beyond_quotas", "units", units.over_quota),
+        ("part_beyond_quotas", "of units let in", units.over_quota_fraction()),
+        ("part_refused_with_room", "of units asked for", units.refused_within_quota_fraction()),
     )
     return [Fault(name, quantity, unit, value, note) for quantity, unit, value in figures]
 
@@ -112,7 +112,7 @@
 
     async def main(loop: VirtualLoop) -> dict[tuple[str, str], Units]:
         fleet = VirtualFleet(loop, plan)
-        ledger, address = fleet.ledger, fleet.counter_at[0]
+        ledger, address = fleet.ledger, fleet.counter_addresses[0]
         ledger.phase = "warm"
         await fleet.start()
         fleet.load.start()
--- a/rainturn/emulator/workers.py
+++ b/rainturn/emulator/workers.py
@@ -17,8 +17,8 @@
 import psutil
 import uvloop
 
-ASK_S = 60.0  # how long a role may take for an answer, unless the caller says otherwise
-STOP_S = 3.0
+ANSWER_TIMEOUT_S = 60.0  # how long a role may take for an answer, unless the caller says otherwise
+STOP_TIMEOUT_S = 3.0
 
 
 class Role(Protocol):
@@ -35,7 +35,7 @@
 
 
 @dataclass(frozen=True)
-class Trouble:
+class RemoteFailure:
     """A command failed in the worker; the text says how."""
 
     text: str
@@ -54,7 +54,7 @@
         try:
             answer = await role.handle(command)
         except Exception:
-            answer = Trouble(traceback.format_exc())
+            answer = RemoteFailure(traceback.format_exc())
         with suppress(OSError):
             pipe.send(answer)
 
@@ -84,7 +84,7 @@
             runner.run(_serve(make(), pipe))
         except Exception:
             with suppress(OSError):
-                pipe.send(Trouble(traceback.format_exc()))
+                pipe.send(RemoteFailure(traceback.format_exc()))
 
 
 def close_pipe(pipe: Connection) -> None:
@@ -117,24 +117,24 @@
         except OSError:
             raise WorkerFailed(f"worker {self.process.pid} has ended") from None
 
-    def receive(self, within_s: float = ASK_S) -> Any:
+    def receive(self, timeout_s: float = ANSWER_TIMEOUT_S) -> Any:
         """Wait for the next answer."""
         try:
-            if not self.pipe.poll(within_s):
-                raise WorkerFailed(f"worker {self.process.pid} gave no answer within {within_s:.0f} s")
+            if not self.pipe.poll(timeout_s):
+                raise WorkerFailed(f"worker {self.process.pid} gave no answer within {timeout_s:.0f} s")
             answer = self.pipe.recv()
         except (EOFError, OSError):
             raise WorkerFailed(f"worker {self.process.pid} has ended") from None
-        if isinstance(answer, Trouble):
+        if isinstance(answer, RemoteFailure):
             raise WorkerFailed(answer.text)
         return answer
 
-    def ask(self, command: Any, within_s: float = ASK_S) -> Any:
+    def ask(self, command: Any, timeout_s: float = ANSWER_TIMEOUT_S) -> Any:
         """Give a command and wait for its answer."""
         self.send(command)
-        return self.receive(within_s)
+        return self.receive(timeout_s)
 
-    def held_mb(self) -> float:
+    def memory_mb(self) -> float:
         """Memory that is this process's own, in MB (2^20 bytes)."""
         return float(self.figures.memory_full_info().uss) / (1 << 20)
 
@@ -142,18 +142,18 @@
         """End the process: as it would, and by force if it does not."""
         with suppress(OSError):
             self.pipe.send(None)
-        self.process.join(STOP_S)
+        self.process.join(STOP_TIMEOUT_S)
         if self.process.is_alive():
             self.process.kill()
             self.process.join()
         close_pipe(self.pipe)
 
 
-def ask_all(workers: Sequence[Worker], command: Any, within_s: float = ASK_S) -> list[Any]:
+def ask_all(workers: Sequence[Worker], command: Any, timeout_s: float = ANSWER_TIMEOUT_S) -> list[Any]:
     """Give one command to several workers at once and collect their answers."""
     for worker in workers:
         worker.send(command)
-    until = time.monotonic() + within_s
+    until = time.monotonic() + timeout_s
     return [worker.receive(max(0.1, until - time.monotonic())) for worker in workers]
 
 
@@ -163,12 +163,12 @@
     try:
         answer = function(*arguments)
     except Exception:
-        answer = Trouble(traceback.format_exc())
+        answer = RemoteFailure(traceback.format_exc())
     with suppress(OSError):
         pipe.send(answer)
 
 
-class FreshCall:
+class ProcessCall:
     """A function called in a new process, which ends with it or when it is stopped."""
 
     def __init__(self, function: Callable[..., Any], *arguments: Any) -> None:
@@ -178,15 +178,15 @@
         self.process.start()
         other.close()
 
-    def result(self, within_s: float) -> Any:
+    def result(self, timeout_s: float) -> Any:
         """Wait for what the function returns."""
         try:
-            if not self.pipe.poll(within_s):
-                raise WorkerFailed(f"no result within {within_s:.0f} s")
+            if not self.pipe.poll(timeout_s):
+                raise WorkerFailed(f"no result within {timeout_s:.0f} s")
             answer = self.pipe.recv()
         except (EOFError, OSError):
             raise WorkerFailed("a process ended without a result") from None
-        if isinstance(answer, Trouble):
+        if isinstance(answer, RemoteFailure):
             raise WorkerFailed(answer.text)
         return answer
 
--- a/rainturn/emulator/workload.py
+++ b/rainturn/emulator/workload.py
@@ -9,22 +9,25 @@
 from typing import Any
 
 ZONES = 12
-SERVICES = 790
+SERVICE_COUNT = 790
 IDLE_LIMIT_MS = 30_000.0
 CUSTOMER_BASE = 1 << 20  # customers are numbers below 2^33; these are easy to tell from other numbers
 # Tenants' volumes fall as rank to this power: of 100,000 the largest has 2%, the middle one 4 in a million.
 ZIPF_EXPONENT = 0.8
-SPREAD = (0.5, 1.0)  # part of the gateways through which a tenant's requests come, as in the standing test
-MOST_UNITS = 4.0
-QUOTA_ROOM = 1.5  # a tenant's plan has this much more than its mean use, at least
-HEAVY_PART = 0.1  # of the tenants ask for more than their quota, as in the standing test
-HEAVY_LEAST = 2.0  # so many times their quota at least, and up to four times as much
-HOST_MEAN_MS = 20.0  # of a host's drawn service time: exponential, and never under the least
-HOST_LEAST_MS = 2.0
+SPREAD_FRACTIONS = (
+    0.5,
+    1.0,
+)  # part of the gateways through which a tenant's requests come, as in the standing test
+MAX_UNITS = 4.0
+QUOTA_HEADROOM = 1.5  # a tenant's plan has this much more than its mean use, at least
+HEAVY_TENANT_FRACTION = 0.1  # of the tenants ask for more than their quota, as in the standing test
+HEAVY_MIN_OVERUSE = 2.0  # so many times their quota at least, and up to four times as much
+SERVICE_TIME_MEAN_MS = 20.0  # of a host's drawn service time: exponential, and never under the least
+SERVICE_TIME_MIN_MS = 2.0
 
 
 @dataclass(frozen=True)
-class KindOfRequest:
+class WorkloadClass:
     """A class of requests under its name on the wire, and the part of all requests that it is."""
 
     name: str
@@ -33,9 +36,9 @@
 
 
 CLASSES = (
-    KindOfRequest("read", "retryable", 0.80),
-    KindOfRequest("order", "dedup", 0.15),
-    KindOfRequest("pay", "fragile", 0.05),
+    WorkloadClass("read", "retryable", 0.80),
+    WorkloadClass("order", "dedup", 0.15),
+    WorkloadClass("pay", "fragile", 0.05),
 )
 
 
@@ -104,13 +107,13 @@
             "conn_idle_ms": IDLE_LIMIT_MS,
             "max_open": 20_000,
         },
-        "family_info": {"may_count": True, "counter_timeout_ms": 50.0, "units_top": MOST_UNITS},
+        "family_info": {"may_count": True, "counter_timeout_ms": 50.0, "units_top": MAX_UNITS},
         "weight_kind": "rough",
     }
 
 
 @dataclass(frozen=True)
-class HostLine:
+class HostListEntry:
     """One line of the host list."""
 
     host: str
@@ -120,7 +123,7 @@
     health: str = "in_service"
     born_ms: float = 0.0
 
-    def encoded(self) -> bytes:
+    def encode(self) -> bytes:
         """The line as JSON."""
         line = {
             "host": self.host,
@@ -134,16 +137,18 @@
         }
         return json.dumps(line, separators=(",", ":")).encode()
 
-    def with_health(self, health: str, born_ms: float | None = None) -> HostLine:
+    def with_health(self, health: str, born_ms: float | None = None) -> HostListEntry:
         """The same host in another state."""
         return replace(self, health=health, born_ms=self.born_ms if born_ms is None else born_ms)
 
 
-def host_lines(hosts: int, dials: tuple[str, ...]) -> list[HostLine]:
+def make_host_entries(hosts: int, dials: tuple[str, ...]) -> list[HostListEntry]:
     """A fleet's host list, over the zones and services in turn; several hosts share an address of `dials`."""
     sites = zone_names()
     return [
-        HostLine(f"h-{n:06x}", dials[n % len(dials)], sites[n % ZONES], n % min(SERVICES, max(1, hosts // 4)))
+        HostListEntry(
+            f"h-{n:06x}", dials[n % len(dials)], sites[n % ZONES], n % min(SERVICE_COUNT, max(1, hosts // 4))
+        )
         for n in range(hosts)
     ]
 
@@ -159,7 +164,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Draw:
+class DrawnRequest:
     """One request that the load has drawn."""
 
     tenant: Tenant
@@ -179,8 +184,8 @@
         self.tenants = [
             Tenant(
                 CUSTOMER_BASE + number,
-                _plan_for(weight * scale * _mean_units(), rng.random() < HEAVY_PART),
-                max(1, round(rng.uniform(*SPREAD) * gateways)),
+                _plan_for(weight * scale * _mean_units(), rng.random() < HEAVY_TENANT_FRACTION),
+                max(1, round(rng.uniform(*SPREAD_FRACTIONS) * gateways)),
                 rng.randrange(gateways),
             )
             for number, weight in enumerate(weights)
@@ -188,16 +193,16 @@
         self.gateways = gateways
         self._class_weights = list(accumulate(kind.part for kind in CLASSES))
 
-    def draw(self, rng: random.Random) -> Draw:
+    def draw(self, rng: random.Random) -> DrawnRequest:
         """The next request: a tenant by its volume, and a gateway of its set."""
         tenant = rng.choices(self.tenants, cum_weights=self.cumulative)[0]
         gateway = (tenant.first + rng.randrange(tenant.spread)) % self.gateways
         kind = rng.choices(range(len(CLASSES)), cum_weights=self._class_weights)[0]
-        return Draw(tenant, gateway, kind, float(rng.randint(1, int(MOST_UNITS))))
+        return DrawnRequest(tenant, gateway, kind, float(rng.randint(1, int(MAX_UNITS))))
 
 
 def _mean_units() -> float:
-    return (1 + MOST_UNITS) / 2
+    return (1 + MAX_UNITS) / 2
 
 
 def _plan_for(units_per_second: float, heavy: bool) -> int:
@@ -205,12 +210,12 @@
 
     One that uses too little to ask too much of any plan is not heavy.
     """
-    if heavy and units_per_second >= HEAVY_LEAST * PLANS[0].per_second:
-        return sum(units_per_second >= HEAVY_LEAST * plan.per_second for plan in PLANS) - 1
-    fitting = (n for n, plan in enumerate(PLANS) if units_per_second * QUOTA_ROOM <= plan.per_second)
+    if heavy and units_per_second >= HEAVY_MIN_OVERUSE * PLANS[0].per_second:
+        return sum(units_per_second >= HEAVY_MIN_OVERUSE * plan.per_second for plan in PLANS) - 1
+    fitting = (n for n, plan in enumerate(PLANS) if units_per_second * QUOTA_HEADROOM <= plan.per_second)
     return next(fitting, len(PLANS) - 1)
 
 
-def draw_host_ms(rng: random.Random) -> float:
+def draw_service_time_ms(rng: random.Random) -> float:
     """A host's service time for one request, in ms."""
-    return HOST_LEAST_MS + rng.expovariate(1.0 / (HOST_MEAN_MS - HOST_LEAST_MS))
+    return SERVICE_TIME_MIN_MS + rng.expovariate(1.0 / (SERVICE_TIME_MEAN_MS - SERVICE_TIME_MIN_MS))
--- a/tests/soak.py
+++ b/tests/soak.py
@@ -27,8 +27,8 @@
 
 from rainturn.emulator.counter_service import CounterService
 from rainturn.emulator.discovery_service import DiscoveryService
-from rainturn.emulator.traffic import dial
-from rainturn.emulator.workload import HostLine
+from rainturn.emulator.traffic import format_address
+from rainturn.emulator.workload import HostListEntry
 from rainturn.node.resp import pack
 from tests.program import config_file, started
 from tests.sockets import WIRE, reset
@@ -278,15 +278,15 @@
             await loop.create_server(lambda n=n: Host(self.day, n), "127.0.0.1", 0)  # type: ignore[misc]
             for n in range(HOSTS)
         ]
-        dials = [dial(server.sockets[0].getsockname()) for server in servers]
-        self.lines = [HostLine(f"h{n}", at, "east", 0) for n, at in enumerate(dials)]
+        dials = [format_address(server.sockets[0].getsockname()) for server in servers]
+        self.lines = [HostListEntry(f"h{n}", at, "east", 0) for n, at in enumerate(dials)]
         self.discovery, self.counter = DiscoveryService(self.lines), CounterService()
         self.change = {
-            "discovery": dial(await self.discovery.listen("first")),
-            "counter": dial(await self.counter.listen("first")),
+            "discovery": format_address(await self.discovery.listen("first")),
+            "counter": format_address(await self.counter.listen("first")),
             "settings": self.day.settings(),
             "limits": {"memory_mb": 192, "sockets": SOCKETS},
-            "known": json.loads(self.discovery.directory.whole()),
+            "known": json.loads(self.discovery.directory.whole_list()),
         }
         tasks = [loop.create_task(self._watch_lag())]
         tasks += [loop.create_task(self._client(b"c%d" % n)) for n in range(CLIENTS)]
@@ -375,7 +375,7 @@
     async def _life(self) -> None:
         """One process from its start to its end, with what meets it."""
         day, rng, loop = self.day, self.rng, asyncio.get_running_loop()
-        listen = {"listen": dial(self.address)} if self.address[1] else {}
+        listen = {"listen": format_address(self.address)} if self.address[1] else {}
         path = config_file(self.folder, **(self.change | listen))
         process, self.address = await started(path)
         self.pid = process.pid
@@ -414,7 +414,7 @@
 
     async def _reload(self, process: Any, path: str, listen: dict[str, Any]) -> None:
         """A new configuration that moves discovery, and perhaps the signal twice."""
-        self.change |= {"discovery": dial(await self.discovery.listen("later"))}
+        self.change |= {"discovery": format_address(await self.discovery.listen("later"))}
         config_file(self.folder, **(self.change | listen))
         for _ in range(self.rng.choice((1, 1, 2))):
             process.send_signal(signal.SIGHUP)
--- a/tests/test_audit_lists.py
+++ b/tests/test_audit_lists.py
@@ -8,7 +8,7 @@
 import pytest
 
 from rainturn.emulator.discovery_service import DiscoveryService
-from rainturn.emulator.workload import HostLine
+from rainturn.emulator.workload import HostListEntry
 from rainturn.node.discovery import Discovery
 from tests.sockets import Peer, World, entry, run, served
 
@@ -28,7 +28,7 @@
 
     async def main() -> None:
         host = await Peer(lambda words: served()).start()
-        lines = [HostLine("h0", host.dial, "east", 0), HostLine("h1", host.dial, "east", 0)]
+        lines = [HostListEntry("h0", host.dial, "east", 0), HostListEntry("h1", host.dial, "east", 0)]
         first, second = DiscoveryService(lines), DiscoveryService(lines)
         addresses = [await service.listen("gateway") for service in (first, second)]
         async with World(wire={"discovery": kind}) as world:
@@ -37,10 +37,10 @@
             discovery.apply({"seq": 1, "whole": True, "hosts": [entry("h0", host.dial)]})
             discovery.start()
             await asyncio.sleep(0.3)  # behind the short first calls: this watch waits long
-            await asyncio.wait_for(first.watched(1), 10)
+            await asyncio.wait_for(first.wait_for_watchers(1), 10)
             changed = lines[0].with_health("terminating")
             for watcher in list(first.watchers):
-                watcher.rest()  # the open watch falls silent for good
+                watcher.stop_waiting()  # the open watch falls silent for good
             first.silent = second.silent = True
             reachable_at, limit_s = time.monotonic(), TOLD_S
             if failure == "silent calls after a reload":
--- a/tests/test_emulator_scale.py
+++ b/tests/test_emulator_scale.py
@@ -19,7 +19,7 @@
 from rainturn.emulator.report import write_json
 from rainturn.emulator.request_series import Bench, measure_requests
 from rainturn.emulator.scale import run_scale
-from rainturn.emulator.workers import Trouble, WorkerFailed
+from rainturn.emulator.workers import RemoteFailure, WorkerFailed
 
 TINY = Options(16, 64, 20, 40.0, 1.0, 1, True, window_s=0.2)
 
@@ -163,4 +163,4 @@
         lab.until = 0.0
         with pytest.raises(OverBudget):
             lab.fresh(_fail)
-    assert Trouble("x").text == "x" and ScaleResult(1, 1, 1, 1.0, 1.0, 1, True, "").skipped == []
+    assert RemoteFailure("x").text == "x" and ScaleResult(1, 1, 1, 1.0, 1.0, 1, True, "").skipped == []
--- a/tests/test_emulator_services.py
+++ b/tests/test_emulator_services.py
@@ -10,15 +10,15 @@
 import pytest
 
 from rainturn import interface as it
-from rainturn.emulator.counter_service import BUSY, CounterService, Numbers
-from rainturn.emulator.discovery_service import GONE, DiscoveryService, HostDirectory
+from rainturn.emulator.counter_service import BUSY, CounterService, CountStore
+from rainturn.emulator.discovery_service import TERMINATED, DiscoveryService, HostDirectory
 from rainturn.emulator.hollow import Addresses, HollowGateway, request_words
 from rainturn.emulator.host_service import HostService
 from rainturn.emulator.workload import (
     CLASSES,
-    HostLine,
+    HostListEntry,
     Tenants,
-    host_lines,
+    make_host_entries,
     wire_settings,
     zone_names,
 )
@@ -49,21 +49,21 @@
 
 
 def test_a_directory_tells_what_changed_since_a_version() -> None:
-    lines = host_lines(4, DIALS)
+    lines = make_host_entries(4, DIALS)
     directory = HostDirectory(lines)
     directory.change([lines[0].with_health("terminating")])
-    directory.change([lines[1].with_health(GONE), lines[0]])
-    first, second = directory.since(1), directory.since(2)
+    directory.change([lines[1].with_health(TERMINATED), lines[0]])
+    first, second = directory.changes_since(1), directory.changes_since(2)
     assert first.startswith(b'{"seq":3,"whole":false') and first.count(b'"host"') == 2
     assert second.count(b'"host"') == 2 and b"terminated" in second and b"terminating" not in second
-    assert b'"whole":true' in directory.since(7)  # a version that never was
-    assert directory.whole().count(b'"host"') == 3
-    assert directory.is_whole(directory.whole()) and not directory.is_whole(second)
+    assert b'"whole":true' in directory.changes_since(7)  # a version that never was
+    assert directory.whole_list().count(b'"host"') == 3
+    assert directory.is_whole_list(directory.whole_list()) and not directory.is_whole_list(second)
 
 
 def test_discovery_tells_the_real_client_the_list_and_each_change() -> None:
     async def main() -> None:
-        lines = host_lines(30, DIALS)
+        lines = make_host_entries(30, DIALS)
         service = DiscoveryService(lines)
         settings = settings_from(wire_settings(0, 1))
         node = Node(settings, 1, Clock(), asyncio.get_running_loop())
@@ -74,12 +74,12 @@
         client.start()
         await until(lambda: client.seq == 1)
         assert node.module.listed_count() == 30
-        await soon(service.watched(1))
+        await soon(service.wait_for_watchers(1))
         service.change([lines[0].with_health("terminating")])
-        await soon(service.watched(1))
+        await soon(service.wait_for_watchers(1))
         assert client.seq == 2 and node.module.skipped_count() == 1
-        service.change([line.with_health(GONE) for line in lines[1:11]])
-        await soon(service.watched(1))
+        service.change([line.with_health(TERMINATED) for line in lines[1:11]])
+        await soon(service.wait_for_watchers(1))
         assert client.seq == 3 and node.module.listed_count() == 20
         traffic = service.traffic["real"]
         assert traffic.whole_lists == 1 and traffic.messages_in >= 4
@@ -91,7 +91,7 @@
 
 def test_discovery_holds_a_watch_until_its_wait_is_over_and_answers_what_is_no_call() -> None:
     async def main() -> None:
-        service = DiscoveryService(host_lines(2, DIALS))
+        service = DiscoveryService(make_host_entries(2, DIALS))
         address = await service.listen("real")
         for path, status, part in (
             ("/discovery/hosts?index=1&wait=20", b"200", b'"hosts":[]'),
@@ -117,7 +117,7 @@
 
 def test_a_slow_discovery_answers_one_call_after_another() -> None:
     async def main() -> None:
-        service = DiscoveryService(host_lines(2, DIALS), answer_ms=30.0)
+        service = DiscoveryService(make_host_entries(2, DIALS), answer_ms=30.0)
         address = await service.listen("real")
         loop = asyncio.get_running_loop()
         began = loop.time()
@@ -134,7 +134,7 @@
 
 
 def test_numbers_live_from_their_first_call_on() -> None:
-    numbers = Numbers()
+    numbers = CountStore()
     assert numbers.add(b"a", 2.5, 1000, 0.0) == 2.5
     assert numbers.add(b"a", -1.0, 90_000, 0.9) == 1.5  # does not extend its life
     assert numbers.add(b"a", 4.0, 90_000, 1.0) == 4.0
@@ -157,12 +157,12 @@
         counter.call(7, 1.5, 4000.0)
         await until(lambda: len(answered) == 2)
         assert [(a.outcome, a.total) for a in answered] == [(it.Outcome.OK, 2.0), (it.Outcome.OK, 3.5)]
-        service.open = False
+        service.accepts_calls = False
         counter.call(7, 1.0, 4000.0)
         await until(lambda: len(answered) == 3)
         assert answered[2].outcome is it.Outcome.FULL and service.traffic["real"].refused == 1
         reader, writer = await asyncio.open_connection(*address)
-        service.open = True
+        service.accepts_calls = True
         for words in (
             (b"PING",),
             (b"CLIENT", b"x"),
@@ -190,7 +190,7 @@
 
 def test_the_counter_resets_connections_beyond_those_of_one_caller() -> None:
     async def main() -> None:
-        service = CounterService(per_caller=2)
+        service = CounterService(max_per_caller=2)
         address = await service.listen("real")
         pairs = [await asyncio.open_connection(*address) for _ in range(2)]
         await until(lambda: sum(map(len, service.connections.values())) == 2)
@@ -249,18 +249,18 @@
 
 def test_a_hollow_gateway_decides_with_the_real_clients() -> None:
     async def main() -> None:
-        discovery, counter = DiscoveryService(host_lines(20, DIALS)), CounterService()
+        discovery, counter = DiscoveryService(make_host_entries(20, DIALS)), CounterService()
         addresses = Addresses(await discovery.listen("hollow"), await counter.listen("hollow"))
         arrived: list[Request] = []
         gateway = HollowGateway(0, 1, addresses, 1)
-        gateway.hosts.arrived = arrived.append
+        gateway.hosts.on_first_attempt = arrived.append
         gateway.start()
         await until(lambda: gateway.version == 1)
         tenants, rng = Tenants(10, 1, 100.0, 1), random.Random(2)
         for _ in range(20):
-            gateway.request(tenants.draw(rng))
+            gateway.submit(tenants.draw(rng))
         await until(lambda: not gateway.node.requests)
-        ended = gateway.client.ended_as
+        ended = gateway.client.outcome_counts
         assert sum(ended.values()) == 20 and ended["served"] == len(arrived) > 0 and not ended["failed"]
         assert counter.traffic["hollow"].messages_in > 0
         await gateway.stop()
@@ -280,8 +280,8 @@
 
 
 def test_a_host_line_is_an_entry_of_the_protocol() -> None:
-    line = HostLine("h-1", "127.0.0.1:9", "region0-zone0", 3, "in_service", 5.0)
-    assert line.encoded() == (
+    line = HostListEntry("h-1", "127.0.0.1:9", "region0-zone0", 3, "in_service", 5.0)
+    assert line.encode() == (
         b'{"host":"h-1","dial":"127.0.0.1:9","site":"region0-zone0","class":"m2","block":3,'
         b'"health":"in_service","share":1.0,"born_ms":5.0}'
     )
@@ -290,7 +290,7 @@
 @pytest.mark.parametrize("wait", ["-5", "0"])
 def test_a_call_that_does_not_wait_is_answered_at_once(wait: str) -> None:
     async def main() -> None:
-        service = DiscoveryService(host_lines(2, DIALS))
+        service = DiscoveryService(make_host_entries(2, DIALS))
         address = await service.listen("real")
         reader, writer = await asyncio.open_connection(*address)
         writer.write(f"GET /discovery/hosts?index=1&wait={wait} HTTP/1.1\r\nHost: h\r\n\r\n".encode())
--- a/tests/test_emulator_virtual.py
+++ b/tests/test_emulator_virtual.py
@@ -95,16 +95,16 @@
 def test_a_ledger_fills_as_the_plan_says_and_what_is_beyond_takes_nothing() -> None:
     ledger, plan = QuotaLedger(), PLANS[0]
     ledger.phase = "now"
-    ledger.let_in("a", 1, 0, plan.peak_units, 0.0)
-    ledger.let_in("a", 1, 0, 1.0, 0.0)
-    ledger.refused("a", 1, 0, 1.0, 0.0)
-    ledger.refused("a", 1, 0, 1.0, 1.0)  # refilled by two units since
-    ledger.let_in("a", 1, 0, 2.0, 1.0)
+    ledger.record_admitted("a", 1, 0, plan.peak_units, 0.0)
+    ledger.record_admitted("a", 1, 0, 1.0, 0.0)
+    ledger.record_refused("a", 1, 0, 1.0, 0.0)
+    ledger.record_refused("a", 1, 0, 1.0, 1.0)  # refilled by two units since
+    ledger.record_admitted("a", 1, 0, 2.0, 1.0)
     units = ledger.tallies["now", "a"]
     assert units == Units(plan.peak_units + 3.0, 1.0, 2.0, 1.0)
-    assert units.beyond_part() == pytest.approx(1.0 / (plan.peak_units + 3.0))
-    assert units.refused_with_room_part() == pytest.approx(1.0 / (plan.peak_units + 5.0))
-    assert Units().beyond_part() == Units().refused_with_room_part() == 0
+    assert units.over_quota_fraction() == pytest.approx(1.0 / (plan.peak_units + 3.0))
+    assert units.refused_within_quota_fraction() == pytest.approx(1.0 / (plan.peak_units + 5.0))
+    assert Units().over_quota_fraction() == Units().refused_within_quota_fraction() == 0
 
 
 def test_the_counters_traffic_is_the_same_for_the_same_seed() -> None:
