--- a/rainturn/emulator/commands.py
+++ b/rainturn/emulator/commands.py
@@ -1,4 +1,4 @@
-"""Commands that the scale run gives to the roles of its processes, and their answers."""
+"""Commands that a scale run sends to the roles of its processes, and the answers to them."""
 
 from __future__ import annotations
 
@@ -9,16 +9,16 @@
 
 @dataclass(frozen=True)
 class Read:
-    """Ask for a role's reading."""
+    """Read what a role has measured so far."""
 
 
 @dataclass(frozen=True)
 class ServiceReading:
-    """A stand-in's processor time since its start, in s, and what passed at each of its addresses."""
+    """A stand-in's processor time since its start, in s, and the traffic at each of its addresses."""
 
     cpu_s: float
     traffic: dict[str, Traffic]
-    held: int  # hosts in the list, or names that the counter holds
+    item_count: int  # hosts in the list, or counts at the counter
 
 
 # Discovery.
@@ -26,24 +26,25 @@
 
 @dataclass(frozen=True)
 class Listen:
-    """Listen on one more address; the answer is that address."""
+    """Listen on one more address, whose traffic counts under `label`; the answer is the address."""
 
     label: str
 
 
 @dataclass(frozen=True)
 class SetList:
-    """Begin anew with so many hosts at these addresses."""
+    """Replace the host list with one of `hosts` hosts at these addresses; the answer is its version."""
 
     hosts: int
-    dials: tuple[str, ...]
+    addresses: tuple[str, ...]
 
 
 @dataclass(frozen=True)
 class ChangeHosts:
-    """Change single hosts, `count` times, each once `watchers` callers have the change before it.
+    """Change one host at a time, `count` times; the answer is a `ListChange`.
 
-    With `every_s` each comes so long after the one before instead, whoever has that.
+    Each change follows once `watchers` callers have the change before it. If `watchers` is 0, each follows
+    `interval_s` after the one before, whether callers have that or not.
     """
 
     count: int
@@ -53,9 +54,10 @@
 
 @dataclass(frozen=True)
 class ChangeZone:
-    """A zone of a part of all hosts is lost, or returns cold: as one version, or a version a host.
+    """Terminate a zone, a fraction of all hosts, or let it return cold; the answer is a `ListChange`.
 
-    These come each once `watchers` callers have the one before, or evenly over `over_s`.
+    The change is one version, or one version for each host. Each of these follows once `watchers` callers
+    have the version before it; if `watchers` is 0, they are spread evenly over `duration_s`.
     """
 
     fraction: float
@@ -67,14 +69,14 @@
 
 @dataclass(frozen=True)
 class SetAnswerTime:
-    """Take so long for each answer, one after another; 0: none."""
+    """Take this time for each answer, one after another; 0 means that discovery is not slow."""
 
     answer_ms: float
 
 
 @dataclass(frozen=True)
 class ListChange:
-    """The version after a change, how many versions it took, and the monotonic time of the first, in s."""
+    """The version after a change, the number of its versions, and the monotonic time of its start, in s."""
 
     version: int
     versions: int
@@ -86,7 +88,7 @@
 
 @dataclass(frozen=True)
 class Join:
-    """Start gateways; `Joined` comes once all have a host list, or after `timeout_s`."""
+    """Start gateways; the answer, `Joined`, comes once all have a host list, or after `timeout_s`."""
 
     numbers: tuple[int, ...]
     timeout_s: float = 60.0
@@ -94,7 +96,7 @@
 
 @dataclass(frozen=True)
 class Joined:
-    """How long gateways took until all had a list, the processor time for it, in s, and how many got none."""
+    """Time until all gateways had a list, processor time for that, both in s, and how many got no list."""
 
     took_s: float
     cpu_s: float
@@ -103,21 +105,24 @@
 
 @dataclass(frozen=True)
 class WatchStalls:
-    """Begin to watch for stalls, or end that: the answer is then the longest, as `Stalls`."""
+    """Start to watch for stalls, or stop; the answer to a stop is `Stalls`."""
 
     on: bool
 
 
 @dataclass(frozen=True)
 class Leave:
-    """End gateways."""
+    """Stop gateways."""
 
     numbers: tuple[int, ...]
 
 
 @dataclass(frozen=True)
 class AwaitVersion:
-    """Wait until all gateways have a version of the list; the answer holds the time for each, in s."""
+    """Wait until all gateways have a version of the list.
+
+    The answer holds the time since `since` for each gateway that got it within `timeout_s`, in s.
+    """
 
     version: int
     since: float  # monotonic, s
@@ -126,33 +131,33 @@
 
 @dataclass(frozen=True)
 class StartLoad:
-    """Begin to draw the fleet's requests; dry: draw and make them, and give them to no gateway."""
+    """Start to draw the fleet's requests. A dry run draws and builds them but passes them to no gateway."""
 
     requests_per_second: float
     tenants: int
     gateways: int
     seed: int
-    dry: bool = False
+    dry_run: bool = False
 
 
 @dataclass(frozen=True)
 class StopLoad:
-    """Draw no more."""
+    """Stop drawing requests."""
 
 
 @dataclass(frozen=True)
 class HollowReading:
-    """A hollow process: processor time since its start, in s, its requests and how they ended."""
+    """A hollow process: its processor time since its start, in s, its requests, and their outcomes."""
 
     cpu_s: float
     requests: int
     outcome_counts: dict[str, int]
-    peak_mb: float  # most memory that the process has held at once, in MB (2^20 bytes)
+    peak_mb: float  # the most memory that the process has held at once, in MB (2^20 bytes)
 
 
 @dataclass(frozen=True)
 class AwaitReady:
-    """Wait until gateways at these addresses say that clients may come; the answer is whether all do."""
+    """Wait until the gateways at these addresses are ready for clients; the answer is whether all are."""
 
     addresses: dict[int, tuple[str, int]] = field(default_factory=dict)
     timeout_s: float = 30.0
@@ -160,7 +165,7 @@
 
 @dataclass(frozen=True)
 class ClientReading:
-    """What clients of real gateways saw: added time in ms over all, and the endings."""
+    """What the clients of real gateways saw: their requests, the outcomes, and the added time in ms."""
 
     requests: int
     outcome_counts: dict[str, int]
--- a/rainturn/emulator/gateway_roles.py
+++ b/rainturn/emulator/gateway_roles.py
@@ -1,4 +1,4 @@
-"""Gateways and their clients as roles of processes."""
+"""Roles of processes: hollow gateways, and the clients of real gateways."""
 
 from __future__ import annotations
 
@@ -27,31 +27,34 @@
 from rainturn.emulator.stalls import StallWatch
 from rainturn.emulator.workload import DrawnRequest, Tenants
 
-POLL_S = 0.02  # how often a hollow process looks whether its gateways have a version
+POLL_INTERVAL_S = 0.02  # how often a role checks whether its gateways have a version or are ready
 
 
 def peak_memory_mb() -> float:
-    """The most memory that this process has held at once, in MB; `ru_maxrss` also counts its parent's."""
+    """Return the most memory that this process has held at once, in MB.
+
+    `ru_maxrss` is not usable for this, as it also includes the memory of the parent process.
+    """
     status = Path("/proc/self/status").read_text()
     found = re.search(r"VmHWM:\s+(\d+) kB", status)
     return int(found[1]) / 1024 if found else 0.0
 
 
 class HollowRole:
-    """Plays many hollow gateways."""
+    """Runs many hollow gateways."""
 
-    def __init__(self, gateways: int, addresses: Addresses, seed: int) -> None:
-        self.gateways_in_fleet, self.addresses, self.seed = gateways, addresses, seed
+    def __init__(self, fleet_size: int, addresses: Addresses, seed: int) -> None:
+        self.fleet_size, self.addresses, self.seed = fleet_size, addresses, seed
         self.gateways: dict[int, HollowGateway] = {}
         self.requests = 0
         self.load: OpenLoop | None = None
         self.stalls = StallWatch()
 
     async def start(self) -> None:
-        """No gateway yet."""
+        """Do nothing: no gateway exists yet."""
 
     async def handle(self, command: Any) -> Any:
-        """Carry out a command."""
+        """Carry out a command and return its answer; any other command is a `Read`."""
         if isinstance(command, Join):
             return await self._join(command)
         if isinstance(command, Leave):
@@ -63,64 +66,64 @@
         if isinstance(command, AwaitVersion):
             return await self._await_version(command)
         if isinstance(command, StartLoad):
-            return self._load_on(command)
+            return self._start_load(command)
         if isinstance(command, StopLoad):
             if self.load is not None:
                 self.load.stop()
             return None
-        ended: dict[str, int] = {}
+        outcomes: dict[str, int] = {}
         for gateway in self.gateways.values():
-            for ending, count in gateway.client.outcome_counts.items():
-                ended[ending] = ended.get(ending, 0) + count
-        return HollowReading(time.process_time(), self.requests, ended, peak_memory_mb())
+            for outcome, count in gateway.client.outcome_counts.items():
+                outcomes[outcome] = outcomes.get(outcome, 0) + count
+        return HollowReading(time.process_time(), self.requests, outcomes, peak_memory_mb())
 
     async def _join(self, command: Join) -> Joined:
-        began, used = time.monotonic(), time.process_time()
+        started_at, cpu_at_start = time.monotonic(), time.process_time()
         for number in command.numbers:
             seed = self.seed * 1_000_003 + number
-            gateway = HollowGateway(number, self.gateways_in_fleet, self.addresses, seed)
+            gateway = HollowGateway(number, self.fleet_size, self.addresses, seed)
             self.gateways[number] = gateway
             gateway.start()
         waiting = set(command.numbers)
-        while waiting and time.monotonic() - began < command.timeout_s:
+        while waiting and time.monotonic() - started_at < command.timeout_s:
             waiting = {number for number in waiting if not self.gateways[number].version}
-            await asyncio.sleep(POLL_S if waiting else 0)
-        joined = Joined(time.monotonic() - began, time.process_time() - used, len(waiting))
+            await asyncio.sleep(POLL_INTERVAL_S if waiting else 0)
+        joined = Joined(time.monotonic() - started_at, time.process_time() - cpu_at_start, len(waiting))
         gc.collect()
-        gc.freeze()  # as a gateway does once it has started
+        gc.freeze()  # a real gateway does the same once it has started
         return joined
 
     async def _await_version(self, command: AwaitVersion) -> list[float]:
         waiting = set(self.gateways)
         times: list[float] = []
-        until = time.monotonic() + command.timeout_s
-        while waiting and time.monotonic() < until:
+        end_at = time.monotonic() + command.timeout_s
+        while waiting and time.monotonic() < end_at:
             reached = {n for n in waiting if self.gateways[n].version >= command.version}
             times += [time.monotonic() - command.since] * len(reached)
             waiting -= reached
-            await asyncio.sleep(POLL_S if waiting else 0)
+            await asyncio.sleep(POLL_INTERVAL_S if waiting else 0)
         return times
 
-    def _load_on(self, command: StartLoad) -> None:
+    def _start_load(self, command: StartLoad) -> None:
         tenants = Tenants(command.tenants, command.gateways, command.requests_per_second, command.seed)
-        take = self._take_dry if command.dry else self._take
-        self.load = OpenLoop(tenants, command.requests_per_second, command.seed + self.seed, take)
+        submit = self._build_only if command.dry_run else self._submit
+        self.load = OpenLoop(tenants, command.requests_per_second, command.seed + self.seed, submit)
         self.load.start()
 
-    def _take(self, draw: DrawnRequest) -> None:
-        gateway = self.gateways.get(draw.gateway)
+    def _submit(self, drawn: DrawnRequest) -> None:
+        gateway = self.gateways.get(drawn.gateway)
         if gateway is not None:
             self.requests += 1
-            gateway.submit(draw)
+            gateway.submit(drawn)
 
-    def _take_dry(self, draw: DrawnRequest) -> None:
-        gateway = self.gateways.get(draw.gateway)
+    def _build_only(self, drawn: DrawnRequest) -> None:
+        gateway = self.gateways.get(drawn.gateway)
         if gateway is not None:
             self.requests += 1
-            gateway.make_request(draw)
+            gateway.make_request(drawn)
 
     async def stop(self) -> None:
-        """End all gateways."""
+        """Stop the load and all gateways."""
         if self.load is not None:
             self.load.stop()
         self.stalls.stop()
@@ -129,78 +132,80 @@
 
 
 class ClientRole:
-    """Plays the clients of real gateways."""
+    """Runs the clients of real gateways."""
 
     def __init__(self, seed: int) -> None:
         self.seed = seed
-        self.fronts: dict[int, GatewayClients] = {}
+        self.clients_by_gateway: dict[int, GatewayClients] = {}
         self.requests = 0
         self.load: OpenLoop | None = None
 
     async def start(self) -> None:
-        """No gateway yet."""
+        """Do nothing: no gateway exists yet."""
 
     async def handle(self, command: Any) -> Any:
-        """Carry out a command."""
+        """Carry out a command and return its answer; any other command is a `Read`."""
         if isinstance(command, AwaitReady):
             return await self._await_ready(command)
         if isinstance(command, StartLoad):
             tenants = Tenants(command.tenants, command.gateways, command.requests_per_second, command.seed)
-            self.load = OpenLoop(tenants, command.requests_per_second, command.seed + self.seed, self._take)
+            self.load = OpenLoop(tenants, command.requests_per_second, command.seed + self.seed, self._submit)
             return self.load.start()
         if isinstance(command, StopLoad):
             if self.load is not None:
                 self.load.stop()
             return None
-        return self._read()
+        return self._reading()
 
     async def _await_ready(self, command: AwaitReady) -> bool:
-        until = time.monotonic() + command.timeout_s
+        end_at = time.monotonic() + command.timeout_s
         waiting = dict(command.addresses)
-        while waiting and time.monotonic() < until:
+        while waiting and time.monotonic() < end_at:
             for number, address in list(waiting.items()):
                 if await answers_ping(address):
                     del waiting[number]
-            await asyncio.sleep(POLL_S)
-        for front in self.fronts.values():
-            front.close()
-        self.fronts = {number: GatewayClients(address) for number, address in command.addresses.items()}
+            await asyncio.sleep(POLL_INTERVAL_S)
+        for clients in self.clients_by_gateway.values():
+            clients.close()
+        self.clients_by_gateway = {
+            number: GatewayClients(address) for number, address in command.addresses.items()
+        }
         return not waiting
 
-    def _take(self, draw: DrawnRequest) -> None:
-        front = self.fronts.get(draw.gateway)
-        if front is not None:
+    def _submit(self, drawn: DrawnRequest) -> None:
+        clients = self.clients_by_gateway.get(drawn.gateway)
+        if clients is not None:
             self.requests += 1
-            front.request(self.requests, draw)
+            clients.send_request(self.requests, drawn)
 
-    def _read(self) -> ClientReading:
-        """The figures since the last reading."""
+    def _reading(self) -> ClientReading:
+        """Return what the clients saw since the last reading, with the total of requests since the start."""
         added = None
-        ended: dict[str, int] = {}
-        for front in self.fronts.values():
-            for ending, count in front.outcome_counts.items():
-                ended[ending] = ended.get(ending, 0) + count
+        outcomes: dict[str, int] = {}
+        for clients in self.clients_by_gateway.values():
+            for outcome, count in clients.outcome_counts.items():
+                outcomes[outcome] = outcomes.get(outcome, 0) + count
             if added is None:
-                added = front.added_us
+                added = clients.added_us
             else:
-                added.add(front.added_us)
-            front.outcome_counts.clear()
+                added.add(clients.added_us)
+            clients.outcome_counts.clear()
         if added is None or not added.get_total_count():
-            return ClientReading(self.requests, ended, 0.0, 0.0, 0.0)
+            return ClientReading(self.requests, outcomes, 0.0, 0.0, 0.0)
         reading = ClientReading(
             self.requests,
-            ended,
+            outcomes,
             added.get_value_at_percentile(50) / 1000,
             added.get_value_at_percentile(99) / 1000,
             added.get_max_value() / 1000,
         )
-        for front in self.fronts.values():
-            front.added_us.reset()
+        for clients in self.clients_by_gateway.values():
+            clients.added_us.reset()
         return reading
 
     async def stop(self) -> None:
-        """End all connections."""
+        """Stop the load and close all connections."""
         if self.load is not None:
             self.load.stop()
-        for front in self.fronts.values():
-            front.close()
+        for clients in self.clients_by_gateway.values():
+            clients.close()
--- a/rainturn/emulator/hollow.py
+++ b/rainturn/emulator/hollow.py
@@ -1,5 +1,5 @@
-"""A hollow gateway: the real decision module and the real discovery and counter clients, without sockets of
-clients and hosts. Many of them run in one process."""
+"""A hollow gateway: the real decision module with the real discovery and counter clients, but without sockets
+to clients and hosts. Many hollow gateways run in one process."""
 
 from __future__ import annotations
 
@@ -26,96 +26,96 @@
 from rainturn.node.requests import Attempt, Request
 from rainturn.settings import settings_from
 
-DEADLINE_MS = 5000.0  # how long a synthetic client waits
-VALUE = b"0" * 200
+DEADLINE_MS = 5000.0  # how long a synthetic client waits for its answer
+HOST_VALUE = b"0" * 200
 
 
 @dataclass(frozen=True)
 class Addresses:
-    """Where a hollow gateway finds discovery and the counter."""
+    """Addresses of discovery and the counter, each a host and a port."""
 
     discovery: tuple[str, int]
     counter: tuple[str, int]
 
 
 class SyntheticClient:
-    """Takes the answers of a hollow gateway's requests and counts how they ended."""
+    """Receives the answers of a hollow gateway and counts them by outcome."""
 
     def __init__(self) -> None:
         self.outcome_counts: Tally[str] = Tally()
         self.on_refusal: Callable[[Request], None] | None = None  # called with each request that is refused
 
     def is_connected(self) -> bool:
-        """A synthetic client never leaves early."""
+        """Return True: a synthetic client stays connected."""
         return True
 
     def send_value(self, request: Request, value: bytes) -> None:
-        """Count a request that was served."""
+        """Count a served request."""
         self.outcome_counts["served"] += 1
 
     def send_refusal(self, request: Request, backoff_ms: float, until: float) -> None:
-        """Count a refusal."""
+        """Count a refused request and report it to `on_refusal`."""
         self.outcome_counts["refused"] += 1
         if self.on_refusal is not None:
             self.on_refusal(request)
 
     def send_failure(self, request: Request) -> None:
-        """Count a failure."""
+        """Count a failed request."""
         self.outcome_counts["failed"] += 1
 
     def begin_value(self, request: Request, length: int) -> None:
-        """No value of a drawn host is long."""
+        """Do nothing: simulated hosts send no long values."""
 
     def send_piece(self, request: Request, data: bytes) -> None:
-        """No value of a drawn host is long."""
+        """Do nothing: simulated hosts send no long values."""
 
     def accepts_piece(self, request: Request) -> bool:
-        """A synthetic client takes all."""
+        """Return True: a synthetic client accepts every piece."""
         return True
 
     def end_value(self, request: Request) -> None:
-        """No value of a drawn host is long."""
+        """Do nothing: simulated hosts send no long values."""
 
     def cut_value(self, request: Request) -> None:
-        """No value of a drawn host is long."""
+        """Do nothing: simulated hosts send no long values."""
 
 
 class SimulatedHosts:
-    """Ends each attempt as served after a drawn time, without a socket.
+    """Completes each attempt successfully after a random service time, without a socket.
 
-    `arrived` is called with each request whose first attempt has come whole to a host: there it takes its
-    units.
+    `on_first_attempt` is called with each request when its first attempt has reached a host in full. The
+    request uses up its units at this point.
     """
 
     def __init__(self, node: Node, rng: random.Random) -> None:
         self.node, self.rng = node, rng
         self.on_first_attempt: Callable[[Request], None] | None = None
-        self.out: dict[Attempt, asyncio.TimerHandle] = {}
+        self.end_timers: dict[Attempt, asyncio.TimerHandle] = {}
 
     def start(self, attempt: Attempt) -> None:
-        """Begin an attempt."""
+        """Start an attempt and schedule its end."""
         attempt.connection = self
         if self.on_first_attempt is not None and attempt.number == 0:
             self.on_first_attempt(attempt.request)
-        self.out[attempt] = self.node.loop.call_later(
-            draw_service_time_ms(self.rng) / 1000, self._end, attempt
+        self.end_timers[attempt] = self.node.loop.call_later(
+            draw_service_time_ms(self.rng) / 1000, self._end_attempt, attempt
         )
 
-    def _end(self, attempt: Attempt) -> None:
-        self.out.pop(attempt, None)
+    def _end_attempt(self, attempt: Attempt) -> None:
+        self.end_timers.pop(attempt, None)
         attempt.connection = None
-        self.node.attempt_ended(attempt, it.Outcome.OK, VALUE)
+        self.node.attempt_ended(attempt, it.Outcome.OK, HOST_VALUE)
 
     def drop(self, attempt: Attempt) -> None:
-        """Stop waiting for an attempt."""
+        """Abandon an attempt; its end is not reported to the node."""
         attempt.connection = None
-        timer = self.out.pop(attempt, None)
+        timer = self.end_timers.pop(attempt, None)
         if timer is not None:
             timer.cancel()
 
 
 class HollowGateway:
-    """One hollow gateway on the running loop."""
+    """A hollow gateway on the running event loop."""
 
     def __init__(
         self,
@@ -130,7 +130,7 @@
         self.number = number
         self.rng = random.Random(seed)
         self.node = Node(settings, seed, clock or Clock(), loop)
-        # The list is held as in a real gateway; nothing connects through these pools.
+        # The host list is held as in a real gateway, but no connection is opened through these pools.
         pools = HostPools(self.node, IDLE_LIMIT_MS, 0)
         self.hosts = self.node.hosts = SimulatedHosts(self.node, self.rng)
         self.counter = self.node.counter = Counter(self.node, addresses.counter)
@@ -138,56 +138,59 @@
         self.client = SyntheticClient()
 
     def start(self) -> None:
-        """Begin to fetch and watch the host list."""
+        """Start to fetch and watch the host list."""
         self.discovery.start()
 
     @property
     def version(self) -> int:
-        """The version of the host list in force; 0 before the first."""
+        """The version of the host list in force, or 0 before the first list."""
         return self.discovery.seq or 0
 
-    def submit(self, draw: DrawnRequest) -> None:
-        """Take one synthetic request."""
-        self.node.arrived(self.make_request(draw))
+    def submit(self, drawn: DrawnRequest) -> None:
+        """Let the gateway handle a synthetic request."""
+        self.node.arrived(self.make_request(drawn))
 
-    def make_request(self, draw: DrawnRequest) -> Request:
-        """A synthetic request as the node holds it, with the words that hosts would get."""
+    def make_request(self, drawn: DrawnRequest) -> Request:
+        """Build a synthetic request with the next number and a deadline."""
         self.node.serial += 1
-        until = self.node.clock.now() + DEADLINE_MS
-        return build_request(self.node.serial, draw, until, self.client)
+        deadline = self.node.clock.now() + DEADLINE_MS
+        return build_request(self.node.serial, drawn, deadline, self.client)
 
     async def stop(self) -> None:
-        """Watch no more and leave the counter."""
+        """Stop watching the host list and close the connections to the counter."""
         await self.discovery.stop()
         self.counter.stop()
         for connection in list(self.counter.connections):
             connection.close()
 
 
-def build_request(number: int, draw: DrawnRequest, until: float, client: SyntheticClient) -> Request:
-    """A request as the node holds it, with the words that hosts would get."""
-    tenant = draw.tenant
+def build_request(number: int, drawn: DrawnRequest, deadline: float, client: SyntheticClient) -> Request:
+    """Build a request as the node holds it, with the command that hosts would receive.
+
+    `deadline` is a Unix time in ms.
+    """
+    tenant = drawn.tenant
     arrival = it.Arrived(
-        number, until, tenant.customer, tenant.plan, draw.kind, draw.units, float(tenant.spread)
+        number, deadline, tenant.customer, tenant.plan, drawn.class_index, drawn.units, float(tenant.spread)
     )
-    return Request(arrival, until, request_words(number, draw), b"", b"", client, REQUEST_BYTES)
+    return Request(arrival, deadline, request_words(number, drawn), b"", b"", client, REQUEST_BYTES)
 
 
-REQUEST_BYTES = 300  # bytes that a request's words hold
+REQUEST_BYTES = 300  # memory for the words of one request
 
 
-def request_words(number: int, draw: DrawnRequest) -> list[bytes]:
-    """The command that a client would send for a drawn request."""
-    tenant, kind = draw.tenant, CLASSES[draw.kind]
-    key = b"k=%016x," % number if kind.effect == "dedup" else b""
+def request_words(number: int, drawn: DrawnRequest) -> list[bytes]:
+    """Build the command that a client would send for a drawn request."""
+    tenant, request_class = drawn.tenant, CLASSES[drawn.class_index]
+    key = b"k=%016x," % number if request_class.effect == "dedup" else b""
     fields = b"c=%s,t=%s,d=%d,%sunits=%d,spread=%d,first=%d" % (
-        kind.name.encode(),
+        request_class.name.encode(),
         PLANS[tenant.plan].name.encode(),
         DEADLINE_MS,
         key,
-        draw.units,
+        drawn.units,
         tenant.spread,
         tenant.first,
     )
-    verb = b"API.READ" if kind.effect == "retryable" else b"API.WRITE"
+    verb = b"API.READ" if request_class.effect == "retryable" else b"API.WRITE"
     return [verb, b"%016x" % tenant.customer, b"%016x" % number, fields]
--- a/rainturn/emulator/load.py
+++ b/rainturn/emulator/load.py
@@ -1,4 +1,4 @@
-"""An open-loop load: requests come at their drawn times, however long answers take."""
+"""An open-loop load: requests arrive at randomly drawn times, regardless of how long answers take."""
 
 from __future__ import annotations
 
@@ -9,14 +9,15 @@
 
 from rainturn.emulator.workload import DrawnRequest, Tenants
 
-TICK_S = 0.005  # how often what is due is handed out
+TICK_S = 0.005  # interval at which due requests are submitted
 
 
 class OpenLoop:
-    """Hands drawn requests of the whole fleet to those gateways that `take` wants here.
+    """Draws requests for the whole fleet and calls `submit` with each.
 
-    Each process that plays a part of the fleet draws for the whole and passes over what is not its own: that
-    leaves each gateway its own Poisson stream.
+    Each process that runs a part of the fleet draws for the whole fleet, and its `submit` ignores the
+    requests for other gateways. So the requests of each gateway are a Poisson process. `clock` returns the
+    time in s.
     """
 
     def __init__(
@@ -24,31 +25,31 @@
         tenants: Tenants,
         requests_per_second: float,
         seed: int,
-        take: Callable[[DrawnRequest], None],
+        submit: Callable[[DrawnRequest], None],
         clock: Callable[[], float] = time.monotonic,
     ) -> None:
-        self.tenants, self.rate, self.take = tenants, requests_per_second, take
-        self.clock = clock  # s
+        self.tenants, self.rate, self.submit = tenants, requests_per_second, submit
+        self.clock = clock
         self.rng = random.Random(seed)
-        self.drawn = 0
+        self.drawn_count = 0
         self._timer: asyncio.TimerHandle | None = None
-        self._next_at = 0.0
+        self._next_arrival_at = 0.0
 
     def start(self) -> None:
-        """Begin."""
-        self._next_at = self.clock() + self.rng.expovariate(self.rate)
+        """Start to draw requests."""
+        self._next_arrival_at = self.clock() + self.rng.expovariate(self.rate)
         self._tick()
 
     def stop(self) -> None:
-        """Draw no more."""
+        """Stop drawing requests."""
         if self._timer is not None:
             self._timer.cancel()
             self._timer = None
 
     def _tick(self) -> None:
         now = self.clock()
-        while self._next_at <= now:
-            self.drawn += 1
-            self.take(self.tenants.draw(self.rng))
-            self._next_at += self.rng.expovariate(self.rate)
+        while self._next_arrival_at <= now:
+            self.drawn_count += 1
+            self.submit(self.tenants.draw(self.rng))
+            self._next_arrival_at += self.rng.expovariate(self.rate)
         self._timer = asyncio.get_running_loop().call_later(TICK_S, self._tick)
--- a/rainturn/emulator/service_roles.py
+++ b/rainturn/emulator/service_roles.py
@@ -1,4 +1,4 @@
-"""The stand-ins as roles of processes: discovery, the counter and the hosts."""
+"""Roles of processes: the stand-ins for discovery, the counter and hosts."""
 
 from __future__ import annotations
 
@@ -26,117 +26,120 @@
 
 
 class DiscoveryRole:
-    """Plays discovery."""
+    """Runs the stand-in for discovery."""
 
     def __init__(self, seed: int) -> None:
         self.rng = random.Random(seed)
         self.service = DiscoveryService([])
 
     async def start(self) -> None:
-        """Nothing listens yet."""
+        """Do nothing: the service listens once it gets `Listen`."""
 
     async def handle(self, command: Any) -> Any:
-        """Carry out a command."""
+        """Carry out a command and return its answer; any other command is a `Read`."""
         service = self.service
         if isinstance(command, Listen):
             return await service.listen(command.label)
         if isinstance(command, SetList):
-            lines = make_host_entries(command.hosts, command.dials)
-            service.replace(lines)
+            entries = make_host_entries(command.hosts, command.addresses)
+            service.replace(entries)
             return service.directory.version
         if isinstance(command, ChangeHosts):
-            return await self._change_one(command)
+            return await self._change_hosts(command)
         if isinstance(command, ChangeZone):
-            return await self._zone(command)
+            return await self._change_zone(command)
         if isinstance(command, SetAnswerTime):
             service.answer_ms = command.answer_ms
             return None
         traffic = {label: traffic.copy() for label, traffic in service.traffic.items()}
         return ServiceReading(time.process_time(), traffic, len(service.directory.entries))
 
-    async def _change_one(self, command: ChangeHosts) -> ListChange:
-        """A host drains, and the next change puts it back."""
-        directory, first = self.service.directory, time.monotonic()
+    async def _change_hosts(self, command: ChangeHosts) -> ListChange:
+        """Let a random host drain, and return it to service with the next change, in turn."""
+        directory, started_at = self.service.directory, time.monotonic()
         drained: str | None = None
         for _ in range(command.count):
             name = drained or self.rng.choice(list(directory.entries))
-            line = directory.entries[name]
+            entry = directory.entries[name]
             drained = None if drained else name
-            line = line.with_health("in_service" if drained is None else "terminating")
-            await self._pace(command.watchers, command.interval_s)
-            self.service.change([line])
+            entry = entry.with_health("in_service" if drained is None else "terminating")
+            await self._wait_before_change(command.watchers, command.interval_s)
+            self.service.change([entry])
         if command.watchers:
             await self.service.wait_for_watchers(command.watchers)
-        return ListChange(directory.version, command.count, first)
+        return ListChange(directory.version, command.count, started_at)
 
-    async def _pace(self, watchers: int, pause_s: float) -> None:
+    async def _wait_before_change(self, watchers: int, pause_s: float) -> None:
         if watchers:
             await self.service.wait_for_watchers(watchers)
         else:
             await asyncio.sleep(pause_s)
 
-    async def _zone(self, command: ChangeZone) -> ListChange:
-        directory, first = self.service.directory, time.monotonic()
+    async def _change_zone(self, command: ChangeZone) -> ListChange:
+        directory, started_at = self.service.directory, time.monotonic()
         if command.lost:
-            lines = list(directory.entries.values())
-            self.lost = lines[: round(command.fraction * len(lines))]
-            changed = [line.with_health(TERMINATED) for line in self.lost]
+            entries = list(directory.entries.values())
+            self.lost_entries = entries[: round(command.fraction * len(entries))]
+            changed = [entry.with_health(TERMINATED) for entry in self.lost_entries]
         else:
-            changed = [line.with_health("in_service", time.time() * 1000) for line in self.lost]
+            changed = [entry.with_health("in_service", time.time() * 1000) for entry in self.lost_entries]
         if command.as_one_version:
             self.service.change(changed)
-            return ListChange(directory.version, 1, first)
-        for number, line in enumerate(changed):
-            pause_s = first + command.duration_s * number / len(changed) - time.monotonic()
+            return ListChange(directory.version, 1, started_at)
+        for number, entry in enumerate(changed):
+            pause_s = started_at + command.duration_s * number / len(changed) - time.monotonic()
             if command.watchers or pause_s > 0:
-                await self._pace(command.watchers, pause_s)
-            self.service.change([line])
+                await self._wait_before_change(command.watchers, pause_s)
+            self.service.change([entry])
         if command.watchers:
             await self.service.wait_for_watchers(command.watchers)
-        return ListChange(directory.version, len(changed), first)
+        return ListChange(directory.version, len(changed), started_at)
 
-    lost: Sequence[HostListEntry] = ()
+    lost_entries: Sequence[HostListEntry] = ()
 
     async def stop(self) -> None:
-        """End."""
+        """Close the service."""
         self.service.close()
 
 
 class CounterRole:
-    """Plays the counter. All gateways of a scale run share one address, so callers are not bounded."""
+    """Runs the stand-in for the counter.
+
+    All gateways of a scale run share one address, so the number of connections per address is not limited.
+    """
 
     def __init__(self) -> None:
         self.service = CounterService(max_per_caller=NO_CALLER_LIMIT)
 
     async def start(self) -> None:
-        """Nothing listens yet."""
+        """Do nothing: the service listens once it gets `Listen`."""
 
     async def handle(self, command: Any) -> Any:
-        """Carry out a command."""
+        """Carry out a command and return its answer; any other command is a `Read`."""
         if isinstance(command, Listen):
             return await self.service.listen(command.label)
         traffic = {label: traffic.copy() for label, traffic in self.service.traffic.items()}
         return ServiceReading(time.process_time(), traffic, len(self.service.counts))
 
     async def stop(self) -> None:
-        """End."""
+        """Close the service."""
         self.service.close()
 
 
 class HostRole:
-    """Plays the hosts of real gateways; `start` returns their addresses."""
+    """Runs the stand-in for the hosts of real gateways."""
 
-    def __init__(self, ports: int, seed: int) -> None:
-        self.ports, self.service = ports, HostService(seed)
+    def __init__(self, port_count: int, seed: int) -> None:
+        self.port_count, self.service = port_count, HostService(seed)
 
     async def start(self) -> tuple[str, ...]:
-        """Listen."""
-        return await self.service.listen(self.ports)
+        """Listen and return the addresses."""
+        return await self.service.listen(self.port_count)
 
     async def handle(self, command: Any) -> Any:
-        """Read."""
+        """Return a reading; the only command is `Read`."""
         return ServiceReading(time.process_time(), {"hosts": self.service.traffic.copy()}, 0)
 
     async def stop(self) -> None:
-        """End."""
+        """Close the service."""
         self.service.close()
--- a/rainturn/emulator/workers.py
+++ b/rainturn/emulator/workers.py
@@ -1,4 +1,4 @@
-"""Processes of the scale run: each plays one role on its own event loop and answers commands over a pipe."""
+"""Processes of a scale run. Each runs one role on its own event loop and answers commands over a pipe."""
 
 from __future__ import annotations
 
@@ -17,40 +17,40 @@
 import psutil
 import uvloop
 
-ANSWER_TIMEOUT_S = 60.0  # how long a role may take for an answer, unless the caller says otherwise
-STOP_TIMEOUT_S = 3.0
+ANSWER_TIMEOUT_S = 60.0  # default limit for the time until a role answers
+STOP_TIMEOUT_S = 3.0  # then a process is killed
 
 
 class Role(Protocol):
-    """What a worker does: `start` returns what others need to know, `handle` answers a command."""
+    """The work of a process. `start` returns data that other processes need."""
 
     async def start(self) -> Any:
-        """Begin."""
+        """Start the role and return data that other processes need, or None."""
 
     async def handle(self, command: Any) -> Any:
         """Carry out a command and return its answer."""
 
     async def stop(self) -> None:
-        """End."""
+        """Stop the role."""
 
 
 @dataclass(frozen=True)
 class RemoteFailure:
-    """A command failed in the worker; the text says how."""
+    """The answer of a process in which a command or call failed, with the traceback as text."""
 
     text: str
 
 
 class WorkerFailed(Exception):
-    """A worker ended or could not carry out a command."""
+    """A worker has ended, did not answer in time, or failed to carry out a command."""
 
 
 async def _serve(role: Role, pipe: Connection) -> None:
     loop = asyncio.get_running_loop()
-    over = asyncio.Event()
+    stopped = asyncio.Event()
     tasks: set[asyncio.Task[None]] = set()
 
-    async def carry_out(command: Any) -> None:
+    async def answer_command(command: Any) -> None:
         try:
             answer = await role.handle(command)
         except Exception:
@@ -58,67 +58,74 @@
         with suppress(OSError):
             pipe.send(answer)
 
-    def readable() -> None:
+    def receive_command() -> None:
         try:
             command = pipe.recv()
         except (EOFError, OSError):
-            return over.set()
+            return stopped.set()
         if command is None:
-            return over.set()
-        task = loop.create_task(carry_out(command))
+            return stopped.set()
+        task = loop.create_task(answer_command(command))
         tasks.add(task)
         task.add_done_callback(tasks.discard)
 
     pipe.send(await role.start())
-    loop.add_reader(pipe.fileno(), readable)
-    await over.wait()
+    loop.add_reader(pipe.fileno(), receive_command)
+    await stopped.wait()
     loop.remove_reader(pipe.fileno())
     await role.stop()
 
 
-def _main(make: Callable[[], Role], pipe: Connection) -> None:
-    signal.signal(signal.SIGINT, signal.SIG_IGN)  # the run's own process ends its workers
+def _main(make_role: Callable[[], Role], pipe: Connection) -> None:
+    signal.signal(signal.SIGINT, signal.SIG_IGN)  # the main process of the run ends its workers
     logging.disable(logging.WARNING)
     with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
         try:
-            runner.run(_serve(make(), pipe))
+            runner.run(_serve(make_role(), pipe))
         except Exception:
             with suppress(OSError):
                 pipe.send(RemoteFailure(traceback.format_exc()))
 
 
 def close_pipe(pipe: Connection) -> None:
-    """Close a pipe; another thread of an interrupted run may wait on it, or have closed it."""
+    """Close a pipe. Another thread of an interrupted run may be waiting on it or may have closed it."""
     with suppress(OSError):
         pipe.close()
 
 
 class Worker:
-    """A role in a process of its own, which ends with the run, however that ends."""
+    """A role in its own process, which ends with the run in any case."""
 
-    def __init__(self, make: Callable[[], Role]) -> None:
+    def __init__(self, make_role: Callable[[], Role]) -> None:
         context = multiprocessing.get_context("spawn")
-        self.pipe, other = context.Pipe()
-        self.process = context.Process(target=_main, args=(make, other), daemon=True)
+        self.pipe, worker_pipe = context.Pipe()
+        self.process = context.Process(target=_main, args=(make_role, worker_pipe), daemon=True)
         self.process.start()
-        other.close()
-        self.figures = psutil.Process(self.process.pid)
-        self.told: Any = None
+        worker_pipe.close()
+        self.process_info = psutil.Process(self.process.pid)
+        self.start_result: Any = None
 
     def ready(self) -> Any:
-        """Wait until the role has begun, and return what it tells."""
-        self.told = self.receive()
-        return self.told
+        """Wait until the role has started, and return what its `start` returned."""
+        self.start_result = self.receive()
+        return self.start_result
 
     def send(self, command: Any) -> None:
-        """Give a command; `receive` returns its answer. Answers of one worker may overtake each other."""
+        """Send a command; `receive` returns its answer.
+
+        The answers of one worker may come in another order than its commands. Raises `WorkerFailed` if the
+        worker has ended.
+        """
         try:
             self.pipe.send(command)
         except OSError:
             raise WorkerFailed(f"worker {self.process.pid} has ended") from None
 
     def receive(self, timeout_s: float = ANSWER_TIMEOUT_S) -> Any:
-        """Wait for the next answer."""
+        """Wait for the next answer and return it.
+
+        Raises `WorkerFailed` if no answer comes in time, the worker has ended, or the command failed.
+        """
         try:
             if not self.pipe.poll(timeout_s):
                 raise WorkerFailed(f"worker {self.process.pid} gave no answer within {timeout_s:.0f} s")
@@ -130,16 +137,16 @@
         return answer
 
     def ask(self, command: Any, timeout_s: float = ANSWER_TIMEOUT_S) -> Any:
-        """Give a command and wait for its answer."""
+        """Send a command, wait for its answer and return it."""
         self.send(command)
         return self.receive(timeout_s)
 
     def memory_mb(self) -> float:
-        """Memory that is this process's own, in MB (2^20 bytes)."""
-        return float(self.figures.memory_full_info().uss) / (1 << 20)
+        """Return the memory that only this process uses, in MB (2^20 bytes)."""
+        return float(self.process_info.memory_full_info().uss) / (1 << 20)
 
     def stop(self) -> None:
-        """End the process: as it would, and by force if it does not."""
+        """End the process; kill it if it does not end in time."""
         with suppress(OSError):
             self.pipe.send(None)
         self.process.join(STOP_TIMEOUT_S)
@@ -150,11 +157,11 @@
 
 
 def ask_all(workers: Sequence[Worker], command: Any, timeout_s: float = ANSWER_TIMEOUT_S) -> list[Any]:
-    """Give one command to several workers at once and collect their answers."""
+    """Send one command to several workers at once and return their answers, in the order of the workers."""
     for worker in workers:
         worker.send(command)
-    until = time.monotonic() + timeout_s
-    return [worker.receive(max(0.1, until - time.monotonic())) for worker in workers]
+    deadline = time.monotonic() + timeout_s
+    return [worker.receive(max(0.1, deadline - time.monotonic())) for worker in workers]
 
 
 def _call(function: Callable[..., Any], arguments: tuple[Any, ...], pipe: Connection) -> None:
@@ -169,17 +176,20 @@
 
 
 class ProcessCall:
-    """A function called in a new process, which ends with it or when it is stopped."""
+    """A function call in a new process, which ends with the call or when it is stopped."""
 
     def __init__(self, function: Callable[..., Any], *arguments: Any) -> None:
         context = multiprocessing.get_context("spawn")
-        self.pipe, other = context.Pipe(duplex=False)
-        self.process = context.Process(target=_call, args=(function, arguments, other), daemon=True)
+        self.pipe, worker_pipe = context.Pipe(duplex=False)
+        self.process = context.Process(target=_call, args=(function, arguments, worker_pipe), daemon=True)
         self.process.start()
-        other.close()
+        worker_pipe.close()
 
     def result(self, timeout_s: float) -> Any:
-        """Wait for what the function returns."""
+        """Wait for the return value of the function.
+
+        Raises `WorkerFailed` if it does not come in time, the process has ended, or the function failed.
+        """
         try:
             if not self.pipe.poll(timeout_s):
                 raise WorkerFailed(f"no result within {timeout_s:.0f} s")
@@ -191,7 +201,7 @@
         return answer
 
     def stop(self) -> None:
-        """End the process."""
+        """Kill the process if it is still running."""
         if self.process.is_alive():
             self.process.kill()
         self.process.join()
--- a/rainturn/emulator/workload.py
+++ b/rainturn/emulator/workload.py
@@ -1,4 +1,4 @@
-"""The deployment that a scale run plays: settings, the fleet's hosts, tenants, and the draw of requests."""
+"""The deployment that a scale run emulates: settings, hosts, tenants, and randomly drawn requests."""
 
 from __future__ import annotations
 
@@ -11,28 +11,29 @@
 ZONES = 12
 SERVICE_COUNT = 790
 IDLE_LIMIT_MS = 30_000.0
-CUSTOMER_BASE = 1 << 20  # customers are numbers below 2^33; these are easy to tell from other numbers
-# Tenants' volumes fall as rank to this power: of 100,000 the largest has 2%, the middle one 4 in a million.
+# Customer numbers lie below 2^33; numbers from here on are easy to tell from other numbers.
+CUSTOMER_BASE = 1 << 20
+# A tenant's request volume is proportional to its rank to the power of minus this: of 100,000 tenants the
+# largest has 2% of all requests and the median one 4 in a million.
 ZIPF_EXPONENT = 0.8
-SPREAD_FRACTIONS = (
-    0.5,
-    1.0,
-)  # part of the gateways through which a tenant's requests come, as in the standing test
-MAX_UNITS = 4.0
-QUOTA_HEADROOM = 1.5  # a tenant's plan has this much more than its mean use, at least
-HEAVY_TENANT_FRACTION = 0.1  # of the tenants ask for more than their quota, as in the standing test
-HEAVY_MIN_OVERUSE = 2.0  # so many times their quota at least, and up to four times as much
-SERVICE_TIME_MEAN_MS = 20.0  # of a host's drawn service time: exponential, and never under the least
+# Least and largest fraction of the gateways through which a tenant's requests come, as in the standing test.
+SPREAD_FRACTIONS = (0.5, 1.0)
+MAX_UNITS = 4.0  # of one request
+QUOTA_HEADROOM = 1.5  # least ratio of the rate of a tenant's plan to the tenant's mean use
+HEAVY_TENANT_FRACTION = 0.1  # of the tenants exceed their quota, as in the standing test
+HEAVY_MIN_OVERUSE = 2.0  # least ratio of their use to their quota; the ratio reaches four times this value
+# A host's service time is the minimum plus an exponentially distributed time.
+SERVICE_TIME_MEAN_MS = 20.0
 SERVICE_TIME_MIN_MS = 2.0
 
 
 @dataclass(frozen=True)
 class WorkloadClass:
-    """A class of requests under its name on the wire, and the part of all requests that it is."""
+    """A class of requests, with its name and effect on the wire and its fraction of all requests."""
 
     name: str
     effect: str
-    part: float
+    fraction: float
 
 
 CLASSES = (
@@ -44,7 +45,7 @@
 
 @dataclass(frozen=True)
 class QuotaPlan:
-    """A plan under its name on the wire: units a second, and units at once."""
+    """A plan under its name on the wire: units per second, and the most units at once."""
 
     name: str
     per_second: float
@@ -55,30 +56,30 @@
 
 
 def zone_names(zones: int = ZONES) -> list[str]:
-    """The zones, three to a region."""
+    """Return the names of the zones, three to a region."""
     return [f"region{number // 3}-zone{number % 3}" for number in range(zones)]
 
 
-def wire_settings(me: int, gateways: int) -> dict[str, Any]:
-    """The settings object of one gateway, under the wire's names."""
+def wire_settings(number: int, gateways: int) -> dict[str, Any]:
+    """Build the settings object of gateway `number` of a fleet, with the names used on the wire."""
     return {
-        "me": me,
+        "me": number,
         "balancers": gateways,
-        "my_zone": me % ZONES,
+        "my_zone": number % ZONES,
         "tick_ms": 4.0,
         "discovery": "ask",
         "localities": zone_names(),
         "classes": [
             {
-                "name": kind.name,
-                "effect": kind.effect,
+                "name": request_class.name,
+                "effect": request_class.effect,
                 "group": "all",
                 "target_ms": 1500.0,
                 "hard_limit_ms": 6000.0,
                 "window_ms": 12_000.0,
                 "credit": 2.0,
             }
-            for kind in CLASSES
+            for request_class in CLASSES
         ],
         "plans": [
             {
@@ -114,7 +115,7 @@
 
 @dataclass(frozen=True)
 class HostListEntry:
-    """One line of the host list."""
+    """One entry of the host list; its fields have their names on the wire."""
 
     host: str
     dial: str
@@ -124,8 +125,8 @@
     born_ms: float = 0.0
 
     def encode(self) -> bytes:
-        """The line as JSON."""
-        line = {
+        """Encode the entry as JSON."""
+        entry = {
             "host": self.host,
             "dial": self.dial,
             "site": self.site,
@@ -135,19 +136,25 @@
             "share": 1.0,
             "born_ms": self.born_ms,
         }
-        return json.dumps(line, separators=(",", ":")).encode()
+        return json.dumps(entry, separators=(",", ":")).encode()
 
     def with_health(self, health: str, born_ms: float | None = None) -> HostListEntry:
-        """The same host in another state."""
+        """Return an entry of the same host with this health, and with this `born_ms` if it is given."""
         return replace(self, health=health, born_ms=self.born_ms if born_ms is None else born_ms)
 
 
-def make_host_entries(hosts: int, dials: tuple[str, ...]) -> list[HostListEntry]:
-    """A fleet's host list, over the zones and services in turn; several hosts share an address of `dials`."""
+def make_host_entries(hosts: int, addresses: tuple[str, ...]) -> list[HostListEntry]:
+    """Build a host list, with the hosts spread evenly over zones, services and `addresses`.
+
+    Several hosts share an address.
+    """
     sites = zone_names()
     return [
         HostListEntry(
-            f"h-{n:06x}", dials[n % len(dials)], sites[n % ZONES], n % min(SERVICE_COUNT, max(1, hosts // 4))
+            f"h-{n:06x}",
+            addresses[n % len(addresses)],
+            sites[n % ZONES],
+            n % min(SERVICE_COUNT, max(1, hosts // 4)),
         )
         for n in range(hosts)
     ]
@@ -155,7 +162,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Tenant:
-    """A customer: its plan, and its set of `spread` gateways from number `first`, counted round."""
+    """A customer and its plan.
+
+    Its requests come through `spread` gateways: those numbered from `first` on, modulo the size of the fleet.
+    """
 
     customer: int
     plan: int
@@ -165,57 +175,58 @@
 
 @dataclass(frozen=True, slots=True)
 class DrawnRequest:
-    """One request that the load has drawn."""
+    """One randomly drawn request: its tenant, gateway and units, and its class as an index into `CLASSES`."""
 
     tenant: Tenant
     gateway: int
-    kind: int
+    class_index: int
     units: float
 
 
 class Tenants:
-    """All tenants of a fleet, the same for the same seed in every process."""
+    """All tenants of a fleet. Every process that uses the same seed gets the same tenants."""
 
     def __init__(self, tenants: int, gateways: int, requests_per_second: float, seed: int) -> None:
         rng = random.Random(seed)
         weights = [(rank + 1) ** -ZIPF_EXPONENT for rank in range(tenants)]
-        scale = requests_per_second / sum(weights)
-        self.cumulative = list(accumulate(weights))
+        requests_per_weight = requests_per_second / sum(weights)
+        self.cumulative_weights = list(accumulate(weights))
         self.tenants = [
             Tenant(
                 CUSTOMER_BASE + number,
-                _plan_for(weight * scale * _mean_units(), rng.random() < HEAVY_TENANT_FRACTION),
+                _plan_for(weight * requests_per_weight * _mean_units(), rng.random() < HEAVY_TENANT_FRACTION),
                 max(1, round(rng.uniform(*SPREAD_FRACTIONS) * gateways)),
                 rng.randrange(gateways),
             )
             for number, weight in enumerate(weights)
         ]
         self.gateways = gateways
-        self._class_weights = list(accumulate(kind.part for kind in CLASSES))
+        self._class_weights = list(accumulate(request_class.fraction for request_class in CLASSES))
 
     def draw(self, rng: random.Random) -> DrawnRequest:
-        """The next request: a tenant by its volume, and a gateway of its set."""
-        tenant = rng.choices(self.tenants, cum_weights=self.cumulative)[0]
+        """Draw a request: a tenant weighted by its volume, a gateway of its set, a class and units."""
+        tenant = rng.choices(self.tenants, cum_weights=self.cumulative_weights)[0]
         gateway = (tenant.first + rng.randrange(tenant.spread)) % self.gateways
-        kind = rng.choices(range(len(CLASSES)), cum_weights=self._class_weights)[0]
-        return DrawnRequest(tenant, gateway, kind, float(rng.randint(1, int(MAX_UNITS))))
+        class_index = rng.choices(range(len(CLASSES)), cum_weights=self._class_weights)[0]
+        return DrawnRequest(tenant, gateway, class_index, float(rng.randint(1, int(MAX_UNITS))))
 
 
 def _mean_units() -> float:
     return (1 + MAX_UNITS) / 2
 
 
-def _plan_for(units_per_second: float, heavy: bool) -> int:
-    """The smallest plan with room for a tenant's mean use; a heavy one's is the largest it asks too much of.
+def _plan_for(units_per_second: float, is_heavy: bool) -> int:
+    """Return the index of a tenant's plan, given its mean use in units per second.
 
-    One that uses too little to ask too much of any plan is not heavy.
+    This is the smallest plan with headroom for that use. A heavy tenant instead gets the largest plan that it
+    exceeds by the factor `HEAVY_MIN_OVERUSE`, unless it uses too little to exceed any plan by that factor.
     """
-    if heavy and units_per_second >= HEAVY_MIN_OVERUSE * PLANS[0].per_second:
+    if is_heavy and units_per_second >= HEAVY_MIN_OVERUSE * PLANS[0].per_second:
         return sum(units_per_second >= HEAVY_MIN_OVERUSE * plan.per_second for plan in PLANS) - 1
-    fitting = (n for n, plan in enumerate(PLANS) if units_per_second * QUOTA_HEADROOM <= plan.per_second)
-    return next(fitting, len(PLANS) - 1)
+    sufficient = (n for n, plan in enumerate(PLANS) if units_per_second * QUOTA_HEADROOM <= plan.per_second)
+    return next(sufficient, len(PLANS) - 1)
 
 
 def draw_service_time_ms(rng: random.Random) -> float:
-    """A host's service time for one request, in ms."""
+    """Draw a host's service time for one request, in ms."""
     return SERVICE_TIME_MIN_MS + rng.expovariate(1.0 / (SERVICE_TIME_MEAN_MS - SERVICE_TIME_MIN_MS))
