--- a/rainturn/emulator/discovery_service.py
+++ b/rainturn/emulator/discovery_service.py
@@ -1,4 +1,4 @@
-"""A stand-in for discovery: a versioned host list, whole or as watched changes, over HTTP/1.1."""
+"""A stand-in for discovery: serves a versioned host list, as a whole or as changes, over HTTP/1.1."""
 
 from __future__ import annotations
 
@@ -14,45 +14,48 @@
 from rainturn.emulator.workload import HostListEntry
 
 MAX_WAIT_MS = 60_000
-KEPT_VERSIONS = 20_000  # a watch from a version before these gets the whole list
+KEPT_VERSIONS = 20_000  # a watch from an older version gets the whole list
 PATH = "/discovery/hosts"
 TERMINATED = "terminated"
 
 
 class HostDirectory:
-    """The fleet's hosts by name, a version that each change raises, and which names each version changed."""
+    """The entries of the host list by name, its version, and the names that each version changed."""
 
-    def __init__(self, lines: Sequence[HostListEntry], version: int = 1) -> None:
+    def __init__(self, entries: Sequence[HostListEntry], version: int = 1) -> None:
         self.version = version
-        self.entries = {line.host: line for line in lines}
-        self._encoded = {line.host: line.encode() for line in lines}
+        self.entries = {entry.host: entry for entry in entries}
+        self._encoded = {entry.host: entry.encode() for entry in entries}
         self._changes: deque[tuple[int, tuple[str, ...]]] = deque(maxlen=KEPT_VERSIONS)
-        self._bodies: dict[int, bytes] = {}  # answers to watches from a version, and -1: the whole list
+        self._cached_bodies: dict[int, bytes] = {}  # by the version that they start from; -1: the whole list
 
-    def change(self, lines: Sequence[HostListEntry]) -> int:
-        """Take lines over as one new version; a host that is gone is told once, then left out."""
+    def change(self, entries: Sequence[HostListEntry]) -> int:
+        """Apply entries as one new version and return it.
+
+        The changes since earlier versions contain a terminated host; the whole list does not.
+        """
         self.version += 1
-        for line in lines:
-            self._encoded[line.host] = line.encode()
-            if line.health == TERMINATED:
-                self.entries.pop(line.host, None)
+        for entry in entries:
+            self._encoded[entry.host] = entry.encode()
+            if entry.health == TERMINATED:
+                self.entries.pop(entry.host, None)
             else:
-                self.entries[line.host] = line
-        self._changes.append((self.version, tuple(line.host for line in lines)))
-        self._bodies.clear()
+                self.entries[entry.host] = entry
+        self._changes.append((self.version, tuple(entry.host for entry in entries)))
+        self._cached_bodies.clear()
         return self.version
 
     def whole_list(self) -> bytes:
-        """The answer that holds the whole list."""
+        """Return an answer with the whole list."""
         return self._body(-1, True, list(self.entries))
 
     def changes_since(self, version: int) -> bytes:
-        """The answer to a watch from a version on: what changed, or the whole list if that is not known."""
+        """Return an answer with the changes since a version, or with the whole list if they are not known."""
         oldest = self._changes[0][0] - 1 if self._changes else self.version
         if not oldest <= version <= self.version:
             return self.whole_list()
-        if version in self._bodies:
-            return self._bodies[version]
+        if version in self._cached_bodies:
+            return self._cached_bodies[version]
         names: dict[str, None] = {}
         for changed_at, changed in reversed(self._changes):
             if changed_at <= version:
@@ -61,34 +64,34 @@
         return self._body(version, False, list(names))
 
     def is_whole_list(self, body: bytes) -> bool:
-        """Whether an answer is the present whole list."""
-        return body is self._bodies.get(-1)
+        """Return whether an answer is the current whole list."""
+        return body is self._cached_bodies.get(-1)
 
     def _body(self, key: int, whole: bool, names: list[str]) -> bytes:
-        if key not in self._bodies:
+        if key not in self._cached_bodies:
             head = b'{"seq":%d,"whole":%s,"hosts":[' % (self.version, b"true" if whole else b"false")
-            self._bodies[key] = head + b",".join(self._encoded[name] for name in names) + b"]}"
-        return self._bodies[key]
+            self._cached_bodies[key] = head + b",".join(self._encoded[name] for name in names) + b"]}"
+        return self._cached_bodies[key]
 
 
 class DiscoveryConnection(asyncio.Protocol):
-    """One caller: each call in its turn, a watch for as long as it asks for. The parser calls `on_...`."""
+    """One caller's connection. The HTTP parser calls its methods `on_...`."""
 
     def __init__(self, service: DiscoveryService, traffic: Traffic) -> None:
         self.service, self.traffic = service, traffic
         self.transport: asyncio.Transport
         self.parser = httptools.HttpRequestParser(self)
         self.path = b""
-        self.watched: int | None = None  # the version from which a call that waits wants news
-        self.timer: asyncio.TimerHandle | None = None
+        self.watched_version: int | None = None  # a waiting call is answered once the version differs from it
+        self.wait_timer: asyncio.TimerHandle | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """A caller has connected."""
+        """Count the connection."""
         self.transport = cast(asyncio.Transport, transport)
         self.traffic.connections += 1
 
     def data_received(self, data: bytes) -> None:
-        """Read a call."""
+        """Parse calls; close the connection on malformed data."""
         self.traffic.bytes_in += len(data)
         try:
             self.parser.feed_data(data)
@@ -96,17 +99,17 @@
             self.transport.close()
 
     def on_url(self, url: bytes) -> None:
-        """Take a piece of the path."""
+        """Collect a piece of the path and query."""
         self.path += url
 
     def on_message_complete(self) -> None:
-        """A call is whole."""
+        """Pass a complete call to the service."""
         self.traffic.messages_in += 1
         path, self.path = self.path.decode("latin-1"), b""
-        self.service.called(self, path)
+        self.service.handle_call(self, path)
 
     def answer(self, body: bytes, status: bytes = b"200 OK") -> None:
-        """Write an answer."""
+        """Send an answer, and end the wait of its call."""
         self.stop_waiting()
         if self.transport.is_closing():
             return
@@ -121,41 +124,41 @@
         self.transport.write(data)
 
     def stop_waiting(self) -> None:
-        """Wait for nothing any more."""
+        """Drop the waiting call, if there is one, without an answer."""
         self.service.watchers.discard(self)
-        self.watched = None
-        if self.timer is not None:
-            self.timer.cancel()
-            self.timer = None
+        self.watched_version = None
+        if self.wait_timer is not None:
+            self.wait_timer.cancel()
+            self.wait_timer = None
 
     def connection_lost(self, error: Exception | None) -> None:
-        """The caller has gone."""
+        """Drop the waiting call of a caller that has disconnected."""
         self.stop_waiting()
 
 
 class DiscoveryService:
     """Answers gateways at one or more addresses.
 
-    `answer_ms` is the service time of a call that is answered, one after another over all callers: a slow
-    service. `silent` means that nothing is answered at all.
+    `answer_ms` is the time for each answer. A slow service, for which it is over 0, answers the calls of all
+    callers one after another. While `silent` is set, no call is answered.
     """
 
-    def __init__(self, lines: Sequence[HostListEntry], answer_ms: float = 0.0) -> None:
-        self.directory = HostDirectory(lines)
+    def __init__(self, entries: Sequence[HostListEntry], answer_ms: float = 0.0) -> None:
+        self.directory = HostDirectory(entries)
         self.answer_ms = answer_ms
         self.silent = False
         self.watchers: set[DiscoveryConnection] = set()
         self.traffic: dict[str, Traffic] = {}
         self.servers: list[asyncio.Server] = []
-        self._queue: deque[tuple[DiscoveryConnection, int | None]] = deque()  # calls at a slow service
-        self._reached = asyncio.Event()
+        self._queue: deque[tuple[DiscoveryConnection, int | None]] = deque()  # of a slow service
+        self._watcher_added = asyncio.Event()
 
     def accept(self, label: str) -> DiscoveryConnection:
-        """The protocol of a new connection at the address of `label`."""
+        """Create the protocol of a new connection to the address of `label`."""
         return DiscoveryConnection(self, self.traffic.setdefault(label, Traffic()))
 
     async def listen(self, label: str) -> tuple[str, int]:
-        """Listen on a free loopback port; what passes there counts under `label`."""
+        """Listen on a free loopback port and return its address; its traffic is counted under `label`."""
         self.traffic.setdefault(label, Traffic())
         loop = asyncio.get_running_loop()
         server = await loop.create_server(lambda: self.accept(label), LOOPBACK, 0, backlog=4096)
@@ -163,8 +166,8 @@
         host, port = server.sockets[0].getsockname()
         return host, port
 
-    def called(self, connection: DiscoveryConnection, path: str) -> None:
-        """Answer a call now, or when there is news, or when its wait is over."""
+    def handle_call(self, connection: DiscoveryConnection, path: str) -> None:
+        """Answer a call at once, or when the list changes, or when its waiting time has passed."""
         if self.silent:
             return
         parts = urlsplit(path)
@@ -178,58 +181,58 @@
             return connection.answer(b"", b"400 Bad Request")
         if index != self.directory.version or wait_ms <= 0:
             return self._answer(connection, index)
-        connection.watched = index
+        connection.watched_version = index
         self.watchers.add(connection)
-        self._reached.set()
+        self._watcher_added.set()
         loop = asyncio.get_running_loop()
-        connection.timer = loop.call_later(wait_ms / 1000, self._answer, connection, index)
+        connection.wait_timer = loop.call_later(wait_ms / 1000, self._answer, connection, index)
 
-    def change(self, lines: Sequence[HostListEntry]) -> None:
-        """Change the list and tell all watchers."""
-        self.directory.change(lines)
-        self._tell()
+    def change(self, entries: Sequence[HostListEntry]) -> None:
+        """Apply entries as one new version and answer all watchers."""
+        self.directory.change(entries)
+        self._answer_watchers()
 
-    def replace(self, lines: Sequence[HostListEntry]) -> None:
-        """Begin another list, of which no earlier version is known, and tell all watchers."""
-        self.directory = HostDirectory(lines, self.directory.version + 1)
-        self._tell()
+    def replace(self, entries: Sequence[HostListEntry]) -> None:
+        """Replace the list, forget its earlier versions, and answer all watchers."""
+        self.directory = HostDirectory(entries, self.directory.version + 1)
+        self._answer_watchers()
 
-    def _tell(self) -> None:
+    def _answer_watchers(self) -> None:
         if not self.silent:
             for connection in list(self.watchers):
-                self._answer(connection, connection.watched)
+                self._answer(connection, connection.watched_version)
 
     async def wait_for_watchers(self, count: int) -> None:
-        """Wait until so many callers have the present version and wait for news."""
+        """Wait until `count` callers watch the current version."""
         while len(self.watchers) < count:
-            self._reached.clear()
-            await self._reached.wait()
+            self._watcher_added.clear()
+            await self._watcher_added.wait()
 
     def _answer(self, connection: DiscoveryConnection, index: int | None) -> None:
         if not self.answer_ms:
-            return connection.answer(self._news(index))
+            return connection.answer(self._body_since(index))
         connection.stop_waiting()
         self._queue.append((connection, index))
         if len(self._queue) == 1:
-            self._serve_next()
+            self._schedule_next()
 
-    def _serve_next(self) -> None:
-        """Take the next call of a caller that is still there."""
+    def _schedule_next(self) -> None:
+        """Schedule the answer to the next call, and skip callers that have disconnected."""
         while self._queue and self._queue[0][0].transport.is_closing():
             self._queue.popleft()
         if self._queue:
-            asyncio.get_running_loop().call_later(self.answer_ms / 1000, self._served)
+            asyncio.get_running_loop().call_later(self.answer_ms / 1000, self._answer_next)
 
-    def _served(self) -> None:
+    def _answer_next(self) -> None:
         connection, index = self._queue.popleft()
-        connection.answer(self._news(index))
-        self._serve_next()
+        connection.answer(self._body_since(index))
+        self._schedule_next()
 
-    def _news(self, index: int | None) -> bytes:
+    def _body_since(self, index: int | None) -> bytes:
         return self.directory.whole_list() if index is None else self.directory.changes_since(index)
 
     def close(self) -> None:
-        """Listen no more, and end the connections that wait."""
+        """Stop listening and abort the connections with a waiting call."""
         for server in self.servers:
             server.close()
         for connection in list(self.watchers):
--- a/rainturn/emulator/host_service.py
+++ b/rainturn/emulator/host_service.py
@@ -1,4 +1,4 @@
-"""A stand-in for hosts: serves every command after a drawn time and says in the value how long it took."""
+"""A stand-in for hosts: answers each command after a random service time, with that time in the value."""
 
 from __future__ import annotations
 
@@ -14,70 +14,75 @@
 from rainturn.emulator.workload import draw_service_time_ms
 
 VERBS = (b"API.READ", b"API.WRITE")
-VALUE_BYTES = 200  # the value: the time at the host in µs, filled up with zeros
+VALUE_BYTES = 200  # the value is the time at the host in µs, padded with zeros
 
 
 class HostConnection(asyncio.Protocol):
-    """One gateway's connection; commands are begun at once and answered in their order."""
+    """One gateway's connection. Commands start at once and are answered in their order."""
 
     def __init__(self, service: HostService) -> None:
         self.service = service
         self.transport: asyncio.Transport
         self.reader = hiredis.Reader()
-        self.answers: deque[list[bytes]] = deque()  # in the order of the commands; empty until given
+        # In the order of the commands; a list is empty until its answer is ready.
+        self.pending_answers: deque[list[bytes]] = deque()
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """A gateway has connected."""
+        """Register the connection."""
         self.transport = cast(asyncio.Transport, transport)
         self.service.traffic.connections += 1
         self.service.connections.add(self)
 
     def data_received(self, data: bytes) -> None:
-        """Begin the commands that have come whole."""
+        """Start the commands that have arrived in full; reset the connection on malformed data."""
         self.service.traffic.bytes_in += len(data)
         self.reader.feed(data)
         try:
             while (words := self.reader.gets()) is not False:
                 self.service.traffic.messages_in += 1
-                self._begin(words)
+                self._start_command(words)
         except hiredis.ProtocolError:
             self.transport.abort()
 
-    def _begin(self, words: object) -> None:
-        slot: list[bytes] = []
-        self.answers.append(slot)
+    def _start_command(self, words: object) -> None:
+        pending_answer: list[bytes] = []
+        self.pending_answers.append(pending_answer)
         verb = words[0].upper() if isinstance(words, list) and words and isinstance(words[0], bytes) else b""
         if verb in VERBS:
             began = time.perf_counter()
             delay_ms = draw_service_time_ms(self.service.rng)
-            asyncio.get_running_loop().call_later(delay_ms / 1000, self._served, slot, began)
+            asyncio.get_running_loop().call_later(
+                delay_ms / 1000, self._finish_command, pending_answer, began
+            )
         elif verb == b"PING":
-            self._give(slot, b"+PONG\r\n")
+            self._complete(pending_answer, b"+PONG\r\n")
         elif verb in (b"CLIENT", b"SELECT"):
-            self._give(slot, b"+OK\r\n")
+            self._complete(pending_answer, b"+OK\r\n")
         else:
-            self._give(slot, b"-NOPERM\r\n" if verb == b"INFO" else b"-ERR no such command\r\n")
+            self._complete(pending_answer, b"-NOPERM\r\n" if verb == b"INFO" else b"-ERR no such command\r\n")
 
-    def _served(self, slot: list[bytes], began: float) -> None:
+    def _finish_command(self, pending_answer: list[bytes], began: float) -> None:
         took_us = int((time.perf_counter() - began) * 1e6)
-        self._give(slot, b"*3\r\n$%d\r\n%0*d\r\n$-1\r\n$-1\r\n" % (VALUE_BYTES, VALUE_BYTES, took_us))
-
-    def _give(self, slot: list[bytes], answer: bytes) -> None:
-        slot.append(answer)
-        while self.answers and self.answers[0]:
-            data = self.answers.popleft()[0]
+        self._complete(
+            pending_answer, b"*3\r\n$%d\r\n%0*d\r\n$-1\r\n$-1\r\n" % (VALUE_BYTES, VALUE_BYTES, took_us)
+        )
+
+    def _complete(self, pending_answer: list[bytes], answer: bytes) -> None:
+        pending_answer.append(answer)
+        while self.pending_answers and self.pending_answers[0]:
+            data = self.pending_answers.popleft()[0]
             if not self.transport.is_closing():
                 self.service.traffic.messages_out += 1
                 self.service.traffic.bytes_out += len(data)
                 self.transport.write(data)
 
     def connection_lost(self, error: Exception | None) -> None:
-        """The gateway has gone."""
+        """Forget the connection."""
         self.service.connections.discard(self)
 
 
 class HostService:
-    """Some loopback addresses, each standing for many hosts."""
+    """Listens on a few loopback addresses, each of which stands for many hosts."""
 
     def __init__(self, seed: int) -> None:
         self.rng = random.Random(seed)
@@ -85,16 +90,16 @@
         self.connections: set[HostConnection] = set()
         self.servers: list[asyncio.Server] = []
 
-    async def listen(self, ports: int) -> tuple[str, ...]:
-        """Listen on so many free ports, and return their addresses as a host list names them."""
+    async def listen(self, port_count: int) -> tuple[str, ...]:
+        """Listen on free loopback ports and return their addresses as host:port."""
         loop = asyncio.get_running_loop()
-        for _ in range(ports):
+        for _ in range(port_count):
             server = await loop.create_server(lambda: HostConnection(self), LOOPBACK, 0, backlog=4096)
             self.servers.append(server)
         return tuple(format_address(server.sockets[0].getsockname()) for server in self.servers)
 
     def close(self) -> None:
-        """Listen no more, and end all connections."""
+        """Stop listening and abort all connections."""
         for server in self.servers:
             server.close()
         for connection in list(self.connections):
--- a/rainturn/emulator/quota_ledger.py
+++ b/rainturn/emulator/quota_ledger.py
@@ -1,4 +1,4 @@
-"""What customers truly have left of their quotas, all gateways together: the measure of units beyond them."""
+"""Tracks what customers have left of their quotas over all gateways, to measure the units beyond quotas."""
 
 from __future__ import annotations
 
@@ -10,7 +10,10 @@
 
 @dataclass
 class Units:
-    """Units of tries that came to a host, those beyond quotas, and those refused though there was room."""
+    """Admitted units, which reached a host, those of them beyond quotas, and refused units.
+
+    `refused_within_quota` counts the refused units that the customer had left of its quota.
+    """
 
     admitted: float = 0.0
     over_quota: float = 0.0
@@ -18,30 +21,34 @@
     refused_within_quota: float = 0.0
 
     def over_quota_fraction(self) -> float:
-        """Part of what was let in that was beyond quotas."""
+        """Return the fraction of the admitted units that was beyond quotas."""
         return self.over_quota / self.admitted if self.admitted else 0.0
 
     def refused_within_quota_fraction(self) -> float:
-        """Part of all units asked for that was refused though the customer's store held it."""
-        asked = self.admitted + self.refused
-        return self.refused_within_quota / asked if asked else 0.0
+        """Return the fraction of all requested units that was refused although the customer had them left."""
+        requested = self.admitted + self.refused
+        return self.refused_within_quota / requested if requested else 0.0
 
 
 class QuotaLedger:
-    """A store for each customer, filled as its plan says; a try beyond it takes nothing of it."""
+    """A token bucket for each customer, refilled as the customer's plan states.
+
+    An attempt that needs more units than the bucket holds takes none. `phase` is a label for the current part
+    of a run. Times are in s.
+    """
 
     def __init__(self) -> None:
-        self._stores: dict[int, tuple[float, float]] = {}  # customer -> units, and when, in s
+        self._buckets: dict[int, tuple[float, float]] = {}  # customer -> units, and when it held them
         self.phase = ""
         self.tallies: defaultdict[tuple[str, str], Units] = defaultdict(Units)  # by phase and group
 
     def _level(self, customer: int, plan: int, now: float) -> float:
-        settings = PLANS[plan]
-        level, since = self._stores.get(customer, (settings.peak_units, now))
-        return min(settings.peak_units, level + settings.per_second * (now - since))
+        quota = PLANS[plan]
+        level, updated_at = self._buckets.get(customer, (quota.peak_units, now))
+        return min(quota.peak_units, level + quota.per_second * (now - updated_at))
 
     def record_admitted(self, group: str, customer: int, plan: int, units: float, now: float) -> None:
-        """A try has come to a host at a time in s."""
+        """Record an attempt that has reached a host at the time `now`."""
         level = self._level(customer, plan, now)
         tally = self.tallies[self.phase, group]
         tally.admitted += units
@@ -49,10 +56,10 @@
             level -= units
         else:
             tally.over_quota += units
-        self._stores[customer] = level, now
+        self._buckets[customer] = level, now
 
     def record_refused(self, group: str, customer: int, plan: int, units: float, now: float) -> None:
-        """A try was refused."""
+        """Record a refused request."""
         tally = self.tallies[self.phase, group]
         tally.refused += units
         if self._level(customer, plan, now) >= units:
--- a/rainturn/emulator/stalls.py
+++ b/rainturn/emulator/stalls.py
@@ -1,4 +1,4 @@
-"""Watches an event loop for stalls: how long one turn of it takes."""
+"""Measures the stalls of an event loop: how long one iteration takes."""
 
 from __future__ import annotations
 
@@ -13,8 +13,9 @@
 class Stalls:
     """The longest stall in ms, as processor time of the loop's thread and as wall time.
 
-    The first leaves out what other processes on the same cores take, but also what the loop waits for the
-    interpreter's lock while a thread of its own process holds it; the second has both in it.
+    The wall time includes the time that other processes use on the same cores, and the time that the loop
+    waits for the global interpreter lock while another thread of its process holds it. The processor time
+    includes neither.
     """
 
     cpu_ms: float = 0.0
@@ -22,33 +23,33 @@
 
 
 class StallWatch:
-    """Ticks on the loop, and keeps the most time between two ticks.
+    """Sets a timer on the loop again and again, and records the longest time between two of its ticks.
 
-    The ticks cost about 1% of a core, so it runs only while stalls are measured.
+    The ticks use about 1% of a core, so the watch runs only while stalls are measured.
     """
 
     def __init__(self) -> None:
-        self._used_s = self._passed_s = 0.0
+        self._cpu_s = self._wall_s = 0.0
         self._timer: asyncio.TimerHandle | None = None
-        self._before = (0.0, 0.0)
+        self._last_tick = (0.0, 0.0)
 
     def start(self) -> None:
-        """Begin to watch anew."""
+        """Start to watch, and forget earlier stalls."""
         self.stop()
-        self._used_s = self._passed_s = 0.0
-        self._before = time.thread_time(), time.monotonic()
+        self._cpu_s = self._wall_s = 0.0
+        self._last_tick = time.thread_time(), time.monotonic()
         self._timer = asyncio.get_running_loop().call_later(TICK_S, self._tick)
 
     def _tick(self) -> None:
-        used, now = time.thread_time(), time.monotonic()
-        self._used_s = max(self._used_s, used - self._before[0])
-        self._passed_s = max(self._passed_s, now - self._before[1] - TICK_S)
-        self._before = used, now
+        cpu, now = time.thread_time(), time.monotonic()
+        self._cpu_s = max(self._cpu_s, cpu - self._last_tick[0])
+        self._wall_s = max(self._wall_s, now - self._last_tick[1] - TICK_S)
+        self._last_tick = cpu, now
         self._timer = asyncio.get_running_loop().call_later(TICK_S, self._tick)
 
     def stop(self) -> Stalls:
-        """Watch no more, and return the longest stall."""
+        """Stop watching and return the longest stall."""
         if self._timer is not None:
             self._timer.cancel()
             self._timer = None
-        return Stalls(1000 * self._used_s, 1000 * self._passed_s)
+        return Stalls(1000 * self._cpu_s, 1000 * self._wall_s)
--- a/rainturn/emulator/traffic.py
+++ b/rainturn/emulator/traffic.py
@@ -1,4 +1,4 @@
-"""Counts of messages and payload bytes at a stand-in, one set for each of its addresses."""
+"""Counts of messages and payload bytes at a stand-in, kept separately for each of its addresses."""
 
 from __future__ import annotations
 
@@ -8,13 +8,16 @@
 
 
 def format_address(address: tuple[str, int]) -> str:
-    """An address as a configuration and a host list name it."""
+    """Format an address as host:port, as in a configuration and a host list."""
     return f"{address[0]}:{address[1]}"
 
 
 @dataclass
 class Traffic:
-    """What has passed at one address since the start: connections, messages and payload bytes."""
+    """Traffic at one address since the start: connections, messages and payload bytes.
+
+    `whole_lists` counts the answers with the whole host list, and `refused` the refused calls.
+    """
 
     connections: int = 0
     messages_in: int = 0
@@ -25,13 +28,13 @@
     refused: int = 0
 
     def since(self, earlier: Traffic) -> Traffic:
-        """What has passed between an earlier reading and this one."""
+        """Return the traffic between an earlier reading and this one."""
         return Traffic(*(getattr(self, f.name) - getattr(earlier, f.name) for f in fields(self)))
 
     def plus(self, other: Traffic) -> Traffic:
-        """Both together."""
+        """Return the sum of both."""
         return Traffic(*(getattr(self, f.name) + getattr(other, f.name) for f in fields(self)))
 
     def copy(self) -> Traffic:
-        """A reading that does not go on counting."""
+        """Return a copy that later traffic does not change."""
         return self.since(Traffic())
--- a/rainturn/emulator/virtual_fleet.py
+++ b/rainturn/emulator/virtual_fleet.py
@@ -1,4 +1,4 @@
-"""Hollow gateways in regions on a virtual clock, with discovery, the counter and a ledger of quotas."""
+"""Hollow gateways in several regions on a virtual clock, with discovery, the counter and a quota ledger."""
 
 from __future__ import annotations
 
@@ -17,12 +17,12 @@
 from rainturn.emulator.workload import DrawnRequest, Tenants, make_host_entries
 from rainturn.node.gateway import Request
 
-UNUSED_ADDRESSES = ("127.0.0.1:9",)  # nothing connects to it
+UNUSED_ADDRESSES = ("127.0.0.1:9",)  # no connection is opened to it
 
 
 @dataclass(frozen=True)
 class VirtualPlan:
-    """A fleet on a virtual clock: how many, and requests a second over all gateways."""
+    """The sizes of a fleet on a virtual clock, its requests per second over all gateways, and the seed."""
 
     gateways: int
     regions: int
@@ -33,7 +33,10 @@
 
 
 class VirtualFleet:
-    """The gateways, their stand-ins, and the load; regions take gateways in turn."""
+    """Gateways, spread evenly over regions, with the stand-ins and the load.
+
+    Each region reaches the one counter at an address of its own, so that it can be cut off alone.
+    """
 
     def __init__(self, loop: VirtualLoop, plan: VirtualPlan) -> None:
         self.loop, self.plan = loop, plan
@@ -45,44 +48,44 @@
         self.counter_addresses = [("counter", region) for region in range(plan.regions)]
         for region, address in enumerate(self.counter_addresses):
             loop.network.listen(address, partial(self.counter.accept, f"region{region}"))
-        self.gateways = [self._gateway(number) for number in range(plan.gateways)]
+        self.gateways = [self._make_gateway(number) for number in range(plan.gateways)]
         self.tenants = Tenants(plan.tenants, plan.gateways, plan.requests_per_second, plan.seed)
-        self.load = OpenLoop(self.tenants, plan.requests_per_second, plan.seed, self._take, loop.time)
+        self.load = OpenLoop(self.tenants, plan.requests_per_second, plan.seed, self._submit, loop.time)
         self.requests = 0
 
     def region_of(self, number: int) -> int:
-        """Which region a gateway stands in."""
+        """Return the region of a gateway."""
         return number % self.plan.regions
 
-    def _gateway(self, number: int) -> HollowGateway:
+    def _make_gateway(self, number: int) -> HollowGateway:
         region = self.region_of(number)
         addresses = Addresses(("discovery", 1), self.counter_addresses[region])
         gateway = HollowGateway(
             number, self.plan.gateways, addresses, self.plan.seed * 1000 + number, self.clock
         )
-        gateway.hosts.on_first_attempt = partial(self._booked, self.ledger.record_admitted, f"region{region}")
-        gateway.client.on_refusal = partial(self._booked, self.ledger.record_refused, f"region{region}")
+        gateway.hosts.on_first_attempt = partial(self._record, self.ledger.record_admitted, f"region{region}")
+        gateway.client.on_refusal = partial(self._record, self.ledger.record_refused, f"region{region}")
         return gateway
 
-    def _booked(
-        self, book: Callable[[str, int, int, float, float], None], group: str, request: Request
+    def _record(
+        self, record: Callable[[str, int, int, float, float], None], group: str, request: Request
     ) -> None:
         arrival = request.arrival
-        book(group, arrival.customer, arrival.plan, arrival.units, self.loop.time())
+        record(group, arrival.customer, arrival.plan, arrival.units, self.loop.time())
 
-    def _take(self, draw: DrawnRequest) -> None:
+    def _submit(self, drawn: DrawnRequest) -> None:
         self.requests += 1
-        self.gateways[draw.gateway].submit(draw)
+        self.gateways[drawn.gateway].submit(drawn)
 
     def total_counter_traffic(self) -> Traffic:
-        """What has passed at the counter, over all regions."""
+        """Return the traffic at the counter, summed over all regions."""
         total = Traffic()
         for traffic in self.counter.traffic.values():
             total = total.plus(traffic)
         return total
 
     async def start(self) -> None:
-        """Start the gateways, and wait until all have a host list."""
+        """Start the gateways and wait until all have a host list; the load is started separately."""
         self.counter.start_sweeping()
         for gateway in self.gateways:
             gateway.start()
@@ -90,7 +93,7 @@
             await asyncio.sleep(0.05)
 
     async def stop(self) -> None:
-        """End all."""
+        """Stop the load, the gateways and the stand-ins."""
         self.load.stop()
         for gateway in self.gateways:
             await gateway.stop()
