--- a/tests/test_emulator_services.py
+++ b/tests/test_emulator_services.py
@@ -1,4 +1,4 @@
-"""The emulator's stand-ins against the gateway's own clients, on loopback."""
+"""Tests the emulator's stand-ins with the gateway's own clients on loopback."""
 
 from __future__ import annotations
 
@@ -41,30 +41,30 @@
     await soon(poll())
 
 
-def test_settings_are_those_that_a_gateway_reads() -> None:
+def test_a_gateway_reads_the_settings() -> None:
     settings = settings_from(wire_settings(3, 40))
     names = names_from(wire_settings(3, 40))
     assert (settings.gateway, settings.gateways, settings.counter) == (3, 40, True)
     assert names.zones == tuple(zone_names()) and len(names.classes) == len(CLASSES)
 
 
-def test_a_directory_tells_what_changed_since_a_version() -> None:
-    lines = make_host_entries(4, DIALS)
-    directory = HostDirectory(lines)
-    directory.change([lines[0].with_health("terminating")])
-    directory.change([lines[1].with_health(TERMINATED), lines[0]])
+def test_a_directory_returns_the_changes_since_a_version() -> None:
+    entries = make_host_entries(4, DIALS)
+    directory = HostDirectory(entries)
+    directory.change([entries[0].with_health("terminating")])
+    directory.change([entries[1].with_health(TERMINATED), entries[0]])
     first, second = directory.changes_since(1), directory.changes_since(2)
     assert first.startswith(b'{"seq":3,"whole":false') and first.count(b'"host"') == 2
     assert second.count(b'"host"') == 2 and b"terminated" in second and b"terminating" not in second
-    assert b'"whole":true' in directory.changes_since(7)  # a version that never was
+    assert b'"whole":true' in directory.changes_since(7)  # an unknown version
     assert directory.whole_list().count(b'"host"') == 3
     assert directory.is_whole_list(directory.whole_list()) and not directory.is_whole_list(second)
 
 
-def test_discovery_tells_the_real_client_the_list_and_each_change() -> None:
+def test_discovery_sends_the_real_client_the_list_and_each_change() -> None:
     async def main() -> None:
-        lines = make_host_entries(30, DIALS)
-        service = DiscoveryService(lines)
+        entries = make_host_entries(30, DIALS)
+        service = DiscoveryService(entries)
         settings = settings_from(wire_settings(0, 1))
         node = Node(settings, 1, Clock(), asyncio.get_running_loop())
         pools = HostPools(node, 30_000.0, 0)
@@ -75,10 +75,10 @@
         await until(lambda: client.seq == 1)
         assert node.module.listed_count() == 30
         await soon(service.wait_for_watchers(1))
-        service.change([lines[0].with_health("terminating")])
+        service.change([entries[0].with_health("terminating")])
         await soon(service.wait_for_watchers(1))
         assert client.seq == 2 and node.module.skipped_count() == 1
-        service.change([line.with_health(TERMINATED) for line in lines[1:11]])
+        service.change([entry.with_health(TERMINATED) for entry in entries[1:11]])
         await soon(service.wait_for_watchers(1))
         assert client.seq == 3 and node.module.listed_count() == 20
         traffic = service.traffic["real"]
@@ -89,7 +89,7 @@
     run(main())
 
 
-def test_discovery_holds_a_watch_until_its_wait_is_over_and_answers_what_is_no_call() -> None:
+def test_discovery_answers_a_watch_after_its_waiting_time_and_rejects_malformed_calls() -> None:
     async def main() -> None:
         service = DiscoveryService(make_host_entries(2, DIALS))
         address = await service.listen("real")
@@ -115,7 +115,7 @@
     run(main())
 
 
-def test_a_slow_discovery_answers_one_call_after_another() -> None:
+def test_a_slow_discovery_answers_calls_one_after_another() -> None:
     async def main() -> None:
         service = DiscoveryService(make_host_entries(2, DIALS), answer_ms=30.0)
         address = await service.listen("real")
@@ -133,19 +133,19 @@
     run(main())
 
 
-def test_numbers_live_from_their_first_call_on() -> None:
-    numbers = CountStore()
-    assert numbers.add(b"a", 2.5, 1000, 0.0) == 2.5
-    assert numbers.add(b"a", -1.0, 90_000, 0.9) == 1.5  # does not extend its life
-    assert numbers.add(b"a", 4.0, 90_000, 1.0) == 4.0
-    assert numbers.add(b"b", 1.0, 90_000, 1.0) == 1.0
-    numbers.sweep(60.9)
-    assert len(numbers) == 2
-    numbers.sweep(61.0)  # a life is a minute at most
-    assert len(numbers) == 0
+def test_counts_expire_a_fixed_time_after_their_first_call() -> None:
+    counts = CountStore()
+    assert counts.add(b"a", 2.5, 1000, 0.0) == 2.5
+    assert counts.add(b"a", -1.0, 90_000, 0.9) == 1.5  # does not extend its time to live
+    assert counts.add(b"a", 4.0, 90_000, 1.0) == 4.0
+    assert counts.add(b"b", 1.0, 90_000, 1.0) == 1.0
+    counts.sweep(60.9)
+    assert len(counts) == 2
+    counts.sweep(61.0)  # the time to live is at most a minute
+    assert len(counts) == 0
 
 
-def test_the_counter_adds_for_the_real_client_and_says_what_is_no_call() -> None:
+def test_the_counter_adds_for_the_real_client_and_rejects_malformed_calls() -> None:
     async def main() -> None:
         service = CounterService()
         address = await service.listen("real")
@@ -188,7 +188,7 @@
     run(main())
 
 
-def test_the_counter_resets_connections_beyond_those_of_one_caller() -> None:
+def test_the_counter_resets_connections_beyond_the_limit_of_one_caller() -> None:
     async def main() -> None:
         service = CounterService(max_per_caller=2)
         address = await service.listen("real")
@@ -197,15 +197,15 @@
         reader, writer = await asyncio.open_connection(*address)
         with contextlib.suppress(ConnectionResetError):
             assert await soon(reader.read()) == b""
-        for _, held in [*pairs, (reader, writer)]:
-            held.close()
+        for _, open_writer in [*pairs, (reader, writer)]:
+            open_writer.close()
         await until(lambda: not any(service.connections.values()))
         service.close()
 
     run(main())
 
 
-def test_a_counter_with_few_calls_a_second_answers_in_turn() -> None:
+def test_a_counter_with_a_call_rate_answers_calls_one_after_another() -> None:
     async def main() -> None:
         service = CounterService(calls_per_second=50.0)
         address = await service.listen("real")
@@ -223,15 +223,15 @@
     assert BUSY == b"-BUSY\r\n"
 
 
-def test_hosts_serve_real_pools_and_say_how_long_it_took() -> None:
+def test_hosts_answer_commands_and_state_the_time_taken() -> None:
     async def main() -> None:
         service = HostService(seed=1)
         (dial,) = await service.listen(1)
         host, _, port = dial.rpartition(":")
         client = await Client.connect((host, int(port)))
         tenants = Tenants(10, 4, 100.0, 1)
-        draw = tenants.draw(random.Random(1))
-        client.send(*request_words(1, draw))
+        drawn = tenants.draw(random.Random(1))
+        client.send(*request_words(1, drawn))
         answer = await client.answer()
         assert len(answer) == 3 and answer[1:] == [None, None] and int(answer[0]) >= 2000
         client.send(b"PING")
@@ -247,7 +247,7 @@
     run(main())
 
 
-def test_a_hollow_gateway_decides_with_the_real_clients() -> None:
+def test_a_hollow_gateway_serves_requests_with_the_real_clients() -> None:
     async def main() -> None:
         discovery, counter = DiscoveryService(make_host_entries(20, DIALS)), CounterService()
         addresses = Addresses(await discovery.listen("hollow"), await counter.listen("hollow"))
@@ -260,8 +260,10 @@
         for _ in range(20):
             gateway.submit(tenants.draw(rng))
         await until(lambda: not gateway.node.requests)
-        ended = gateway.client.outcome_counts
-        assert sum(ended.values()) == 20 and ended["served"] == len(arrived) > 0 and not ended["failed"]
+        outcomes = gateway.client.outcome_counts
+        assert (
+            sum(outcomes.values()) == 20 and outcomes["served"] == len(arrived) > 0 and not outcomes["failed"]
+        )
         assert counter.traffic["hollow"].messages_in > 0
         await gateway.stop()
         discovery.close()
@@ -270,25 +272,25 @@
     run(main())
 
 
-def test_tenants_are_the_same_for_the_same_seed_and_their_requests_come_to_their_set() -> None:
+def test_tenants_depend_only_on_the_seed_and_their_requests_go_to_their_gateways() -> None:
     tenants, again = Tenants(50, 12, 1000.0, 3), Tenants(50, 12, 1000.0, 3)
     assert tenants.tenants == again.tenants != Tenants(50, 12, 1000.0, 4).tenants
     rng = random.Random(5)
     for _ in range(200):
-        draw = tenants.draw(rng)
-        assert (draw.gateway - draw.tenant.first) % 12 < draw.tenant.spread
+        drawn = tenants.draw(rng)
+        assert (drawn.gateway - drawn.tenant.first) % 12 < drawn.tenant.spread
 
 
-def test_a_host_line_is_an_entry_of_the_protocol() -> None:
-    line = HostListEntry("h-1", "127.0.0.1:9", "region0-zone0", 3, "in_service", 5.0)
-    assert line.encode() == (
+def test_a_host_list_entry_is_encoded_as_the_protocol_requires() -> None:
+    entry = HostListEntry("h-1", "127.0.0.1:9", "region0-zone0", 3, "in_service", 5.0)
+    assert entry.encode() == (
         b'{"host":"h-1","dial":"127.0.0.1:9","site":"region0-zone0","class":"m2","block":3,'
         b'"health":"in_service","share":1.0,"born_ms":5.0}'
     )
 
 
 @pytest.mark.parametrize("wait", ["-5", "0"])
-def test_a_call_that_does_not_wait_is_answered_at_once(wait: str) -> None:
+def test_a_watch_without_waiting_time_is_answered_at_once(wait: str) -> None:
     async def main() -> None:
         service = DiscoveryService(make_host_entries(2, DIALS))
         address = await service.listen("real")
--- a/tests/test_emulator_virtual.py
+++ b/tests/test_emulator_virtual.py
@@ -1,4 +1,4 @@
-"""The virtual clock and its network, the ledger of quotas, and what is measured with them."""
+"""Tests the virtual clock and network, the quota ledger, and the measurements that use them."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 class Echo(asyncio.Protocol):
-    """Sends back what comes."""
+    """Sends back the data that it receives."""
 
     def connection_made(self, transport: Any) -> None:
         self.transport = transport
@@ -35,31 +35,31 @@
 
 
 class Listener(asyncio.Protocol):
-    """Keeps what comes, with its times."""
+    """Records the data that it receives, with the time of arrival."""
 
     def __init__(self, loop: VirtualLoop) -> None:
         self.loop = loop
-        self.came: list[tuple[float, bytes]] = []
+        self.received: list[tuple[float, bytes]] = []
 
     def data_received(self, data: bytes) -> None:
-        self.came.append((self.loop.time(), data))
+        self.received.append((self.loop.time(), data))
 
 
-def test_minutes_pass_at_once_and_in_order() -> None:
+def test_an_hour_of_virtual_time_passes_within_seconds_and_timers_fire_in_order() -> None:
     async def main(loop: VirtualLoop) -> list[float]:
-        clock, seen = VirtualClock(loop), list[float]()
+        clock, fired_at = VirtualClock(loop), list[float]()
         began = clock.now()
         for delay in (3600.0, 60.0, 0.25):
-            loop.call_later(delay, lambda: seen.append(clock.now() - began))
+            loop.call_later(delay, lambda: fired_at.append(clock.now() - began))
         await asyncio.sleep(3601.0)
-        return seen
+        return fired_at
 
     began = time.monotonic()
     assert run_virtual(main) == pytest.approx([250.0, 60_000.0, 3_600_000.0])
     assert time.monotonic() - began < 30
 
 
-def test_a_connection_carries_bytes_in_order_and_a_cut_holds_them() -> None:
+def test_a_connection_delivers_data_in_order_and_a_cut_holds_it_back() -> None:
     async def main(loop: VirtualLoop) -> None:
         echo, address = Echo(), ("far", 1)
         loop.network.listen(address, lambda: echo)
@@ -68,37 +68,37 @@
         transport.write(b"a")
         transport.write(b"b")
         await asyncio.sleep(1.0)
-        assert listener.came == [(pytest.approx(began + 2 * LATENCY_S), data) for data in (b"a", b"b")]
+        assert listener.received == [(pytest.approx(began + 2 * LATENCY_S), data) for data in (b"a", b"b")]
         loop.network.cut(address)
         transport.write(b"c")
         await asyncio.sleep(1.0)
-        assert len(listener.came) == 2
+        assert len(listener.received) == 2
         with pytest.raises(TimeoutError):
             async with asyncio.timeout(0.25):
                 await loop.create_connection(lambda: Listener(loop), *address)
         loop.network.heal(address)
         await asyncio.sleep(1.0)
-        assert [data for _, data in listener.came] == [b"a", b"b", b"c"]
+        assert [data for _, data in listener.received] == [b"a", b"b", b"c"]
         loop.network.cut(address)
         transport.write(b"lost")
         await asyncio.sleep(0.1)
         transport.abort()
         loop.network.heal(address)
         await asyncio.sleep(0.1)
-        assert echo.lost and len(listener.came) == 3
+        assert echo.lost and len(listener.received) == 3
         with pytest.raises(ConnectionRefusedError):
             await loop.create_connection(lambda: Listener(loop), "nobody", 1)
 
     run_virtual(main)
 
 
-def test_a_ledger_fills_as_the_plan_says_and_what_is_beyond_takes_nothing() -> None:
+def test_a_ledger_refills_at_the_plans_rate_and_units_beyond_the_quota_take_nothing() -> None:
     ledger, plan = QuotaLedger(), PLANS[0]
     ledger.phase = "now"
     ledger.record_admitted("a", 1, 0, plan.peak_units, 0.0)
     ledger.record_admitted("a", 1, 0, 1.0, 0.0)
     ledger.record_refused("a", 1, 0, 1.0, 0.0)
-    ledger.record_refused("a", 1, 0, 1.0, 1.0)  # refilled by two units since
+    ledger.record_refused("a", 1, 0, 1.0, 1.0)  # two units have been refilled since
     ledger.record_admitted("a", 1, 0, 2.0, 1.0)
     units = ledger.tallies["now", "a"]
     assert units == Units(plan.peak_units + 3.0, 1.0, 2.0, 1.0)
@@ -107,15 +107,15 @@
     assert Units().over_quota_fraction() == Units().refused_within_quota_fraction() == 0
 
 
-def test_the_counters_traffic_is_the_same_for_the_same_seed() -> None:
-    first, again = (counter_traffic(PLAN, 4.0) for _ in range(2))
+def test_the_same_seed_gives_the_same_counter_traffic() -> None:
+    first, second = (counter_traffic(PLAN, 4.0) for _ in range(2))
     counts = ("calls_per_request", "bytes_per_request", "calls_per_gateway")
-    assert [first[name] for name in counts] == [again[name] for name in counts]
+    assert [first[name] for name in counts] == [second[name] for name in counts]
     assert 0.5 < first["calls_per_request"] < 5 and first["bytes_per_request"] > 30
 
 
-def test_customers_take_memory() -> None:
-    """In a process of its own, as in a scale run: here the heap may have room for them already."""
+def test_the_memory_of_customers_is_measured() -> None:
+    """The measurement runs in a new process, as in a scale run: memory freed here may hide the customers'."""
     program = (
         "from rainturn.emulator.virtual_series import VirtualPlan, customers_memory; "
         "print(customers_memory(VirtualPlan(1, 1, 10, 4000, 1.0, 1))['bytes_per_customer'])"
@@ -126,10 +126,10 @@
     assert 200 < float(found.stdout) < 20_000
 
 
-def test_a_partition_is_told_by_phase_and_region() -> None:
+def test_a_partition_is_reported_by_phase_and_region() -> None:
     faults = partition(PLAN, Partition(2.0, 4.0, 1.0, 2.0))
     names = {fault.name for fault in faults}
     assert len(names) == 8 and "counter partitioned, cut off, region cut off" in names
-    let_in = {fault.name: fault.value for fault in faults if fault.quantity == "units_let_in"}
-    assert all(value > 0 for value in let_in.values())
+    admitted = {fault.name: fault.value for fault in faults if fault.quantity == "units_let_in"}
+    assert all(value > 0 for value in admitted.values())
     assert all("compressed" in fault.note and "cut off for 4 s" in fault.note for fault in faults)
