--- a/rainturn/host_ages.py
+++ b/rainturn/host_ages.py
@@ -39,7 +39,7 @@
 
     def started_at(self, now: float, entry: it.HostEntry) -> float:
         """Return when a host started, in Unix ms; a start that is reported again keeps its time."""
-        key = (entry.order or entry.host, entry.started)
+        key = (entry.sort_key or entry.host, entry.started)
         if key not in self.starts:
             self.starts[key] = self._estimate(now, entry.started)
             if len(self.starts) > MAX_STARTS:
--- a/tests/test_host_index.py
+++ b/tests/test_host_index.py
@@ -56,7 +56,7 @@
         return self.config.rules.fall_multiple / 3 * self.warmth(now, host.started) * part
 
     def start(self, now: float, entry: it.HostEntry) -> float:
-        key = (entry.order or entry.host, entry.started)  # a start that is reported again keeps its time
+        key = (entry.sort_key or entry.host, entry.started)  # a start that is reported again keeps its time
         return self.starts.setdefault(key, self.estimate(now, entry.started))
 
     def estimate(self, now: float, listed: float) -> float:
@@ -94,10 +94,10 @@
             if entry.state is GONE:
                 return
             host = self.hosts[entry.host] = ModelHost(entry, 0.0)
-        same = entry._replace(started=0.0, order=0) == host.entry._replace(started=0.0, order=0)
+        same = entry._replace(started=0.0, sort_key=0) == host.entry._replace(started=0.0, sort_key=0)
         restart = entry.started not in (0.0, host.listed)
         if not same or restart or host.warmup_state == "out":
-            host.entry = entry._replace(order=host.entry.order)
+            host.entry = entry._replace(sort_key=host.entry.sort_key)
             if restart:
                 host.listed, host.started = entry.started, max(host.started, self.start(now, entry))
             host.warmup_state = self.classify(now, host)
@@ -116,7 +116,7 @@
 
     def warm(self) -> list[int]:
         listed = [host for host in self.hosts.values() if host.entry.state is not GONE]
-        listed.sort(key=lambda host: (host.entry.order, host.entry.host))
+        listed.sort(key=lambda host: (host.entry.sort_key, host.entry.host))
         first = ring_position(self.config) * len(listed) // self.config.gateways
         return [host.entry.host for host in listed[first:] + listed[:first] if host.warmup_state == "warm"]
 
@@ -128,7 +128,7 @@
     assert index.hosts.keys() == model.hosts.keys()
     assert [h.id for h in index.listed()] == sorted(
         (n for n, model_host in model.hosts.items() if model_host.entry.state is not GONE),
-        key=lambda n: (model.hosts[n].entry.order, n),
+        key=lambda n: (model.hosts[n].entry.sort_key, n),
     )
     assert abs(index.fleet_size - model.fleet_size) < 1e-9 and abs(index.mean_size - model.mean_size) < 1e-9
     assert index.has_ready_host() is any(
@@ -318,23 +318,23 @@
     """The host leaves the list before the last byte arrives; nothing would ever remove such load again."""
     gate = Gateway(CONFIG, 1)
     gate.handle(START, it.HostList(it.ListKind.FULL, (_entry(1), _entry(2))))
-    arrived = it.Arrived(1, START + 5000.0, 1, 0, 0, whole=False)
+    arrived = it.Arrived(1, START + 5000.0, 1, 0, 0, is_complete=False)
     (send,) = [a for a in gate.handle(START, arrived) if isinstance(a, it.Send)]
     gate.handle(START, it.HostList(it.ListKind.DELTA, (_entry(send.host, GONE),)))
     assert send.host not in gate.hosts
     gate.handle(
         START, it.HostList(it.ListKind.DELTA, (_entry(send.host),))
     )  # another host under the same number
-    gate.handle(START, it.BodyWhole(1, START + 5000.0))
+    gate.handle(START, it.BodyComplete(1, START + 5000.0))
     assert gate.host_selector.open_attempts() == 0
 
 
 def test_load_begins_with_the_last_byte_of_an_upload() -> None:
     gate = Gateway(CONFIG, 1)
     gate.handle(START, it.HostList(it.ListKind.FULL, (_entry(1),)))
-    gate.handle(START, it.Arrived(1, START + 5000.0, 1, 0, 0, whole=False))
+    gate.handle(START, it.Arrived(1, START + 5000.0, 1, 0, 0, is_complete=False))
     assert gate.host_selector.open_attempts() == 0 and not gate.index.used
-    gate.handle(START + 10.0, it.BodyWhole(1, START + 5000.0))
+    gate.handle(START + 10.0, it.BodyComplete(1, START + 5000.0))
     assert gate.host_selector.open_attempts() == 1
     gate.handle(START + 20.0, it.AttemptEnded(1, 0, 1, it.Outcome.OK, 10.0, True))
     assert gate.host_selector.open_attempts() == 0 and not gate.index.used
