--- a/rainturn/emulator/workload.py
+++ b/rainturn/emulator/workload.py
@@ -1,4 +1,4 @@
-"""The deployment that a scale run plays: settings, the fleet's hosts, tenants, and the draw of requests."""
+"""The deployment that a scale run emulates: settings, hosts, tenants, and randomly drawn requests."""
 
 from __future__ import annotations
 
@@ -9,39 +9,43 @@
 from typing import Any
 
 ZONES = 12
-SERVICES = 790
+SERVICE_COUNT = 790
 IDLE_LIMIT_MS = 30_000.0
-CUSTOMER_BASE = 1 << 20  # customers are numbers below 2^33; these are easy to tell from other numbers
-# Tenants' volumes fall as rank to this power: of 100,000 the largest has 2%, the middle one 4 in a million.
+# Customer numbers lie below 2^33; numbers from here on are easy to tell from other numbers.
+CUSTOMER_BASE = 1 << 20
+# A tenant's request volume is proportional to its rank to the power of minus this: of 100,000 tenants the
+# largest has 2% of all requests and the median one 4 in a million.
 ZIPF_EXPONENT = 0.8
-SPREAD = (0.5, 1.0)  # part of the gateways through which a tenant's requests come, as in the standing test
-MOST_UNITS = 4.0
-QUOTA_ROOM = 1.5  # a tenant's plan has this much more than its mean use, at least
-HEAVY_PART = 0.1  # of the tenants ask for more than their quota, as in the standing test
-HEAVY_LEAST = 2.0  # so many times their quota at least, and up to four times as much
-HOST_MEAN_MS = 20.0  # of a host's drawn service time: exponential, and never under the least
-HOST_LEAST_MS = 2.0
+# Least and largest fraction of the gateways through which a tenant's requests come, as in the standing test.
+SPREAD_FRACTIONS = (0.5, 1.0)
+MAX_UNITS = 4.0  # of one request
+QUOTA_HEADROOM = 1.5  # least ratio of the rate of a tenant's plan to the tenant's mean use
+HEAVY_TENANT_FRACTION = 0.1  # of the tenants exceed their quota, as in the standing test
+HEAVY_MIN_OVERUSE = 2.0  # least ratio of their use to their quota; the ratio reaches four times this value
+# A host's service time is the minimum plus an exponentially distributed time.
+SERVICE_TIME_MEAN_MS = 20.0
+SERVICE_TIME_MIN_MS = 2.0
 
 
 @dataclass(frozen=True)
-class KindOfRequest:
-    """A class of requests under its name on the wire, and the part of all requests that it is."""
+class WorkloadClass:
+    """A class of requests, with its name and effect on the wire and its fraction of all requests."""
 
     name: str
     effect: str
-    part: float
+    fraction: float
 
 
 CLASSES = (
-    KindOfRequest("read", "retryable", 0.80),
-    KindOfRequest("order", "dedup", 0.15),
-    KindOfRequest("pay", "fragile", 0.05),
+    WorkloadClass("read", "retryable", 0.80),
+    WorkloadClass("order", "dedup", 0.15),
+    WorkloadClass("pay", "fragile", 0.05),
 )
 
 
 @dataclass(frozen=True)
 class QuotaPlan:
-    """A plan under its name on the wire: units a second, and units at once."""
+    """A plan under its name on the wire: units per second, and the most units at once."""
 
     name: str
     per_second: float
@@ -52,30 +56,30 @@
 
 
 def zone_names(zones: int = ZONES) -> list[str]:
-    """The zones, three to a region."""
+    """Return the names of the zones, three to a region."""
     return [f"region{number // 3}-zone{number % 3}" for number in range(zones)]
 
 
-def wire_settings(me: int, gateways: int) -> dict[str, Any]:
-    """The settings object of one gateway, under the wire's names."""
+def wire_settings(number: int, gateways: int) -> dict[str, Any]:
+    """Build the settings object of gateway `number` of a fleet, with the names used on the wire."""
     return {
-        "me": me,
+        "me": number,
         "balancers": gateways,
-        "my_zone": me % ZONES,
+        "my_zone": number % ZONES,
         "tick_ms": 4.0,
         "discovery": "ask",
         "localities": zone_names(),
         "classes": [
             {
-                "name": kind.name,
-                "effect": kind.effect,
+                "name": request_class.name,
+                "effect": request_class.effect,
                 "group": "all",
                 "target_ms": 1500.0,
                 "hard_limit_ms": 6000.0,
                 "window_ms": 12_000.0,
                 "credit": 2.0,
             }
-            for kind in CLASSES
+            for request_class in CLASSES
         ],
         "plans": [
             {
@@ -104,14 +108,14 @@
             "conn_idle_ms": IDLE_LIMIT_MS,
             "max_open": 20_000,
         },
-        "family_info": {"may_count": True, "counter_timeout_ms": 50.0, "units_top": MOST_UNITS},
+        "family_info": {"may_count": True, "counter_timeout_ms": 50.0, "units_top": MAX_UNITS},
         "weight_kind": "rough",
     }
 
 
 @dataclass(frozen=True)
-class HostLine:
-    """One line of the host list."""
+class HostListEntry:
+    """One entry of the host list; its fields have their names on the wire."""
 
     host: str
     dial: str
@@ -120,9 +124,9 @@
     health: str = "in_service"
     born_ms: float = 0.0
 
-    def encoded(self) -> bytes:
-        """The line as JSON."""
-        line = {
+    def encode(self) -> bytes:
+        """Encode the entry as JSON."""
+        entry = {
             "host": self.host,
             "dial": self.dial,
             "site": self.site,
@@ -132,25 +136,36 @@
             "share": 1.0,
             "born_ms": self.born_ms,
         }
-        return json.dumps(line, separators=(",", ":")).encode()
+        return json.dumps(entry, separators=(",", ":")).encode()
 
-    def with_health(self, health: str, born_ms: float | None = None) -> HostLine:
-        """The same host in another state."""
+    def with_health(self, health: str, born_ms: float | None = None) -> HostListEntry:
+        """Return an entry of the same host with this health, and with this `born_ms` if it is given."""
         return replace(self, health=health, born_ms=self.born_ms if born_ms is None else born_ms)
 
 
-def host_lines(hosts: int, dials: tuple[str, ...]) -> list[HostLine]:
-    """A fleet's host list, over the zones and services in turn; several hosts share an address of `dials`."""
+def make_host_entries(hosts: int, addresses: tuple[str, ...]) -> list[HostListEntry]:
+    """Build a host list, with the hosts spread evenly over zones, services and `addresses`.
+
+    Several hosts share an address.
+    """
     sites = zone_names()
     return [
-        HostLine(f"h-{n:06x}", dials[n % len(dials)], sites[n % ZONES], n % min(SERVICES, max(1, hosts // 4)))
+        HostListEntry(
+            f"h-{n:06x}",
+            addresses[n % len(addresses)],
+            sites[n % ZONES],
+            n % min(SERVICE_COUNT, max(1, hosts // 4)),
+        )
         for n in range(hosts)
     ]
 
 
 @dataclass(frozen=True, slots=True)
 class Tenant:
-    """A customer: its plan, and its set of `spread` gateways from number `first`, counted round."""
+    """A customer and its plan.
+
+    Its requests come through `spread` gateways: those numbered from `first` on, modulo the size of the fleet.
+    """
 
     customer: int
     plan: int
@@ -159,58 +174,59 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Draw:
-    """One request that the load has drawn."""
+class DrawnRequest:
+    """One randomly drawn request: its tenant, gateway and units, and its class as an index into `CLASSES`."""
 
     tenant: Tenant
     gateway: int
-    kind: int
+    class_index: int
     units: float
 
 
 class Tenants:
-    """All tenants of a fleet, the same for the same seed in every process."""
+    """All tenants of a fleet. Every process that uses the same seed gets the same tenants."""
 
     def __init__(self, tenants: int, gateways: int, requests_per_second: float, seed: int) -> None:
         rng = random.Random(seed)
         weights = [(rank + 1) ** -ZIPF_EXPONENT for rank in range(tenants)]
-        scale = requests_per_second / sum(weights)
-        self.cumulative = list(accumulate(weights))
+        requests_per_weight = requests_per_second / sum(weights)
+        self.cumulative_weights = list(accumulate(weights))
         self.tenants = [
             Tenant(
                 CUSTOMER_BASE + number,
-                _plan_for(weight * scale * _mean_units(), rng.random() < HEAVY_PART),
-                max(1, round(rng.uniform(*SPREAD) * gateways)),
+                _plan_for(weight * requests_per_weight * _mean_units(), rng.random() < HEAVY_TENANT_FRACTION),
+                max(1, round(rng.uniform(*SPREAD_FRACTIONS) * gateways)),
                 rng.randrange(gateways),
             )
             for number, weight in enumerate(weights)
         ]
         self.gateways = gateways
-        self._class_weights = list(accumulate(kind.part for kind in CLASSES))
+        self._class_weights = list(accumulate(request_class.fraction for request_class in CLASSES))
 
-    def draw(self, rng: random.Random) -> Draw:
-        """The next request: a tenant by its volume, and a gateway of its set."""
-        tenant = rng.choices(self.tenants, cum_weights=self.cumulative)[0]
+    def draw(self, rng: random.Random) -> DrawnRequest:
+        """Draw a request: a tenant weighted by its volume, a gateway of its set, a class and units."""
+        tenant = rng.choices(self.tenants, cum_weights=self.cumulative_weights)[0]
         gateway = (tenant.first + rng.randrange(tenant.spread)) % self.gateways
-        kind = rng.choices(range(len(CLASSES)), cum_weights=self._class_weights)[0]
-        return Draw(tenant, gateway, kind, float(rng.randint(1, int(MOST_UNITS))))
+        class_index = rng.choices(range(len(CLASSES)), cum_weights=self._class_weights)[0]
+        return DrawnRequest(tenant, gateway, class_index, float(rng.randint(1, int(MAX_UNITS))))
 
 
 def _mean_units() -> float:
-    return (1 + MOST_UNITS) / 2
+    return (1 + MAX_UNITS) / 2
 
 
-def _plan_for(units_per_second: float, heavy: bool) -> int:
-    """The smallest plan with room for a tenant's mean use; a heavy one's is the largest it asks too much of.
+def _plan_for(units_per_second: float, is_heavy: bool) -> int:
+    """Return the index of a tenant's plan, given its mean use in units per second.
 
-    One that uses too little to ask too much of any plan is not heavy.
+    This is the smallest plan with headroom for that use. A heavy tenant instead gets the largest plan that it
+    exceeds by the factor `HEAVY_MIN_OVERUSE`, unless it uses too little to exceed any plan by that factor.
     """
-    if heavy and units_per_second >= HEAVY_LEAST * PLANS[0].per_second:
-        return sum(units_per_second >= HEAVY_LEAST * plan.per_second for plan in PLANS) - 1
-    fitting = (n for n, plan in enumerate(PLANS) if units_per_second * QUOTA_ROOM <= plan.per_second)
-    return next(fitting, len(PLANS) - 1)
+    if is_heavy and units_per_second >= HEAVY_MIN_OVERUSE * PLANS[0].per_second:
+        return sum(units_per_second >= HEAVY_MIN_OVERUSE * plan.per_second for plan in PLANS) - 1
+    sufficient = (n for n, plan in enumerate(PLANS) if units_per_second * QUOTA_HEADROOM <= plan.per_second)
+    return next(sufficient, len(PLANS) - 1)
 
 
-def draw_host_ms(rng: random.Random) -> float:
-    """A host's service time for one request, in ms."""
-    return HOST_LEAST_MS + rng.expovariate(1.0 / (HOST_MEAN_MS - HOST_LEAST_MS))
+def draw_service_time_ms(rng: random.Random) -> float:
+    """Draw a host's service time for one request, in ms."""
+    return SERVICE_TIME_MIN_MS + rng.expovariate(1.0 / (SERVICE_TIME_MEAN_MS - SERVICE_TIME_MIN_MS))
--- a/tests/soak.py
+++ b/tests/soak.py
@@ -28,8 +28,8 @@
 
 from rainturn.emulator.counter_service import CounterService
 from rainturn.emulator.discovery_service import DiscoveryService
-from rainturn.emulator.traffic import dial
-from rainturn.emulator.workload import HostLine
+from rainturn.emulator.traffic import format_address
+from rainturn.emulator.workload import HostListEntry
 from rainturn.node.resp import pack
 from tests.program import config_file, started
 from tests.sockets import WIRE, reset
@@ -284,15 +284,15 @@
             await loop.create_server(lambda n=n: Host(self.day, n), "127.0.0.1", 0)  # type: ignore[misc]
             for n in range(HOSTS)
         ]
-        dials = [dial(server.sockets[0].getsockname()) for server in servers]
-        self.host_lines = [HostLine(f"h{n}", at, "east", 0) for n, at in enumerate(dials)]
+        dials = [format_address(server.sockets[0].getsockname()) for server in servers]
+        self.host_lines = [HostListEntry(f"h{n}", at, "east", 0) for n, at in enumerate(dials)]
         self.discovery, self.counter = DiscoveryService(self.host_lines), CounterService()
         self.config_changes = {
-            "discovery": dial(await self.discovery.listen("first")),
-            "counter": dial(await self.counter.listen("first")),
+            "discovery": format_address(await self.discovery.listen("first")),
+            "counter": format_address(await self.counter.listen("first")),
             "settings": self.day.settings(),
             "limits": {"memory_mb": 192, "sockets": GATEWAY_DESCRIPTORS},
-            "known": json.loads(self.discovery.directory.whole()),
+            "known": json.loads(self.discovery.directory.whole_list()),
         }
         tasks = [loop.create_task(self._measure_delays())]
         tasks += [loop.create_task(self._run_client(b"c%d" % n)) for n in range(CLIENTS)]
@@ -387,7 +387,7 @@
     async def _run_process(self) -> None:
         """Run one process from its start to its end, with its clients and signals."""
         day, rng, loop = self.day, self.rng, asyncio.get_running_loop()
-        listen = {"listen": dial(self.address)} if self.address[1] else {}
+        listen = {"listen": format_address(self.address)} if self.address[1] else {}
         path = config_file(self.folder, **(self.config_changes | listen))
         process, self.address = await started(path)
         self.pid = process.pid
@@ -426,7 +426,7 @@
 
     async def _reload(self, process: Any, path: str, listen: dict[str, Any]) -> None:
         """Write a configuration that moves discovery, and send SIGHUP once or twice."""
-        self.config_changes |= {"discovery": dial(await self.discovery.listen("later"))}
+        self.config_changes |= {"discovery": format_address(await self.discovery.listen("later"))}
         config_file(self.folder, **(self.config_changes | listen))
         for _ in range(self.rng.choice((1, 1, 2))):
             process.send_signal(signal.SIGHUP)
