--- a/rainturn/emulator/comparison.py
+++ b/rainturn/emulator/comparison.py
@@ -1,4 +1,4 @@
-"""Hollow gateways against real ones at the same size: messages, bytes and processor time of one instance."""
+"""A comparison of hollow and real gateways at the same size: messages, bytes and processor time of each."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 )
 from rainturn.emulator.gateway_roles import ClientRole, HollowRole
 from rainturn.emulator.hollow import Addresses
-from rainturn.emulator.lab import Lab
+from rainturn.emulator.lab import RunContext
 from rainturn.emulator.measurements import Comparison
 from rainturn.emulator.real_gateway import RealGateway
 from rainturn.emulator.service_roles import CounterRole, DiscoveryRole, HostRole
@@ -29,11 +29,11 @@
 from rainturn.emulator.workers import Worker, WorkerFailed, ask_all
 
 HOLLOW, REAL = "hollow", "real"
-EACH = 3  # gateways of each kind
-WITHIN = 0.15
+GATEWAYS_PER_KIND = 3
+MAX_DEVIATION = 0.15  # of the ratio from 1
 HOST_PORTS = 8
-LEAST_HOSTS = 200
-FIXED_TEXT = (
+MIN_HOSTS = 200
+CORRECTION_EXPLANATION = (
     "a hollow gateway has no sockets of clients and hosts and does not look after client connections: what "
     "that costs, measured at {hosts} hosts and {rate:g} requests/s a gateway, is added"
 )
@@ -41,7 +41,7 @@
 
 @dataclass(frozen=True)
 class Reading:
-    """What the gateways of one kind have done together: processor time in s, requests and traffic."""
+    """Totals of all gateways of one kind so far: processor time in s, requests and traffic."""
 
     cpu_s: float
     requests: int
@@ -51,7 +51,7 @@
 
 @dataclass(frozen=True)
 class Window:
-    """One kind's figures over a window."""
+    """Totals of all gateways of one kind over a period of `seconds`."""
 
     seconds: float
     cpu_s: float
@@ -62,7 +62,10 @@
 
 @dataclass(frozen=True)
 class Size:
-    """A size at which both kinds are measured: windows of `seconds`, requests a second at each gateway."""
+    """A size at which both kinds are measured.
+
+    Each window takes `seconds`; `requests_per_second` applies to each gateway.
+    """
 
     hosts: int
     requests_per_second: float
@@ -70,64 +73,74 @@
     changes: int
 
 
-class Pair:
-    """Real gateways, and hollow ones of the same numbers, with the same list and the same draws of requests.
+class GatewayPairs:
+    """Real and hollow gateways with the same numbers, the same host list and the same drawn requests.
 
-    They share discovery; each kind has a counter of its own, so that neither uses up the other's quotas. Each
-    hollow gateway has a process to itself here, as a real one has: several in one process find its code and
-    data in the processor's caches, and cost less.
+    Both kinds share discovery. Each kind has its own counter, so that neither uses up the other's quotas.
+    Each hollow gateway has a process of its own here, as a real one has: several in one process would find
+    their code and data in the processor's caches, and cost less.
     """
 
-    def __init__(self, lab: Lab) -> None:
-        self.lab = lab
-        seed = lab.options.seed
-        self.discovery = lab.start(partial(DiscoveryRole, seed))
-        self.counters = {kind: lab.start(CounterRole) for kind in (HOLLOW, REAL)}
-        self.host = lab.start(partial(HostRole, HOST_PORTS, seed))
-        self.client = lab.start(partial(ClientRole, seed))
+    def __init__(self, context: RunContext) -> None:
+        self.context = context
+        seed = context.options.seed
+        self.discovery = context.start_worker(partial(DiscoveryRole, seed))
+        self.counters = {kind: context.start_worker(CounterRole) for kind in (HOLLOW, REAL)}
+        self.host = context.start_worker(partial(HostRole, HOST_PORTS, seed))
+        self.client = context.start_worker(partial(ClientRole, seed))
         for worker in (self.discovery, *self.counters.values(), self.client):
             worker.ready()
         self.dials: tuple[str, ...] = self.host.ready()
-        at = {
+        addresses = {
             kind: Addresses(self.discovery.ask(Listen(kind)), self.counters[kind].ask(Listen(kind)))
             for kind in (HOLLOW, REAL)
         }
-        role = partial(HollowRole, EACH, at[HOLLOW], seed)
-        self.hollow = [lab.start(role) for _ in range(EACH)]
+        role = partial(HollowRole, GATEWAYS_PER_KIND, addresses[HOLLOW], seed)
+        self.hollow = [context.start_worker(role) for _ in range(GATEWAYS_PER_KIND)]
         for worker in self.hollow:
             worker.ready()
         self.real = [
-            lab.real(RealGateway(number, EACH, at[REAL].discovery, at[REAL].counter, seed * 100 + number))
-            for number in range(EACH)
+            context.start_gateway(
+                RealGateway(
+                    number,
+                    GATEWAYS_PER_KIND,
+                    addresses[REAL].discovery,
+                    addresses[REAL].counter,
+                    seed * 100 + number,
+                )
+            )
+            for number in range(GATEWAYS_PER_KIND)
         ]
         for number, worker in enumerate(self.hollow):
             worker.ask(Join((number,)))
-        self.relist(LEAST_HOSTS)
+        self.replace_host_list(MIN_HOSTS)
         ready = AwaitReady({gateway.number: gateway.address for gateway in self.real})
         if not self.client.ask(ready):
             raise WorkerFailed("a real gateway was not ready: " + self.real[0].log()[-500:])
 
     def workers(self) -> tuple[Worker, ...]:
-        """All processes but the real gateways."""
+        """Return all processes except the real gateways."""
         return (*self.hollow, self.client, self.host, self.discovery, *self.counters.values())
 
     def read(self) -> dict[str, Reading]:
-        """What both kinds have done so far."""
+        """Return the totals of both kinds so far."""
         discovery: ServiceReading = self.discovery.ask(Read())
-        counted: dict[str, ServiceReading] = {kind: c.ask(Read()) for kind, c in self.counters.items()}
+        counters: dict[str, ServiceReading] = {
+            kind: worker.ask(Read()) for kind, worker in self.counters.items()
+        }
         hollow: list[HollowReading] = ask_all(self.hollow, Read())
         client: ClientReading = self.client.ask(Read())
-        real_s = sum(gateway.spent().cpu_s for gateway in self.real)
-        cpu_s = {HOLLOW: sum(reading.cpu_s for reading in hollow), REAL: real_s}
-        requests = {HOLLOW: sum(h.requests for h in hollow), REAL: client.requests}
+        real_cpu_s = sum(gateway.spent().cpu_s for gateway in self.real)
+        cpu_s = {HOLLOW: sum(reading.cpu_s for reading in hollow), REAL: real_cpu_s}
+        requests = {HOLLOW: sum(reading.requests for reading in hollow), REAL: client.requests}
         return {
-            kind: Reading(cpu_s[kind], requests[kind], discovery.traffic[kind], counted[kind].traffic[kind])
+            kind: Reading(cpu_s[kind], requests[kind], discovery.traffic[kind], counters[kind].traffic[kind])
             for kind in (HOLLOW, REAL)
         }
 
-    def since(self, before: dict[str, Reading], began: float) -> dict[str, Window]:
-        """What both kinds have done since a reading."""
-        now, seconds = self.read(), time.monotonic() - began
+    def since(self, before: dict[str, Reading], started_at: float) -> dict[str, Window]:
+        """Return what both kinds have done since a reading that was taken at `started_at` (monotonic, s)."""
+        now, seconds = self.read(), time.monotonic() - started_at
         return {
             kind: Window(
                 seconds,
@@ -139,39 +152,50 @@
             for kind in (HOLLOW, REAL)
         }
 
-    def relist(self, hosts: int) -> None:
-        """Begin anew with so many hosts; all gateways get the whole list."""
+    def replace_host_list(self, hosts: int) -> None:
+        """Replace the host list by one with `hosts` hosts, and wait until all gateways have it whole."""
         self.discovery.ask(SetList(hosts, self.dials))
-        self.discovery.ask(ChangeOne(0, watchers=2 * EACH))
+        self.discovery.ask(ChangeOne(0, watchers=2 * GATEWAYS_PER_KIND))
 
-    def quiet(self, seconds: float) -> dict[str, Window]:
-        """A window with neither changes nor requests."""
-        self.lab.check()
-        before, began = self.read(), time.monotonic()
+    def measure_idle(self, seconds: float) -> dict[str, Window]:
+        """Measure a window of `seconds` without causing changes or requests."""
+        self.context.check_limits()
+        before, started_at = self.read(), time.monotonic()
         time.sleep(seconds)
-        return self.since(before, began)
-
-    def changing(self, changes: int) -> dict[str, Window]:
-        """A window with changes, each once all have the one before."""
-        before, began = self.read(), time.monotonic()
-        self.discovery.ask(ChangeOne(changes, watchers=2 * EACH))
-        return self.since(before, began)
-
-    def loaded(self, per_gateway: float, seconds: float, dry: bool = False) -> dict[str, Window]:
-        """A window with so many requests a second at each gateway; dry: at none, but drawn and made."""
-        options = self.lab.options
-        load = LoadOn(per_gateway * EACH, min(options.tenants, 2000), EACH, options.seed, dry)
-        drawing = self.hollow if dry else [*self.hollow, self.client]
-        ask_all(drawing, load)
-        time.sleep(self.lab.settle_s)
-        window = self.quiet(seconds)
-        ask_all(drawing, LoadOff())
-        time.sleep(self.lab.settle_s / 3)
+        return self.since(before, started_at)
+
+    def measure_changes(self, changes: int) -> dict[str, Window]:
+        """Measure `changes` changes of a host; each follows when all gateways have the one before it."""
+        before, started_at = self.read(), time.monotonic()
+        self.discovery.ask(ChangeOne(changes, watchers=2 * GATEWAYS_PER_KIND))
+        return self.since(before, started_at)
+
+    def measure_load(
+        self, requests_per_second: float, seconds: float, dry: bool = False
+    ) -> dict[str, Window]:
+        """Measure a window with `requests_per_second` at each gateway.
+
+        With `dry`, the requests of the hollow gateways are drawn and built, but no gateway gets them.
+        """
+        options = self.context.options
+        load = LoadOn(
+            requests_per_second * GATEWAYS_PER_KIND,
+            min(options.tenants, 2000),
+            GATEWAYS_PER_KIND,
+            options.seed,
+            dry,
+        )
+        load_workers = self.hollow if dry else [*self.hollow, self.client]
+        ask_all(load_workers, load)
+        time.sleep(self.context.settle_s)
+        window = self.measure_idle(seconds)
+        ask_all(load_workers, LoadOff())
+        time.sleep(self.context.settle_s / 3)
         return window
 
-    def end(self) -> None:
-        """End all of it."""
-        self.lab.end(*self.real, *self.workers())
+    def stop(self) -> None:
+        """Stop all processes."""
+        self.context.stop(*self.real, *self.workers())
 
 
 Figures = dict[str, dict[str, float]]  # by quantity and kind, for one gateway
@@ -185,68 +209,85 @@
     "one_change_cpu": "ms",
     "request_cpu": "us",
 }
-CORRECTED = ("idle_cpu", "request_cpu")  # a change costs both kinds the same
+# Without one_change_cpu: a change of the host list costs both kinds the same.
+CORRECTED_QUANTITIES = ("idle_cpu", "request_cpu")
 
 
-def _bytes(traffic: Traffic) -> int:
+def _total_bytes(traffic: Traffic) -> int:
     return traffic.bytes_in + traffic.bytes_out
 
 
-def measure_pair(pair: Pair, size: Size, draw_us: float) -> Figures:
-    """Both kinds' figures at one size; `draw_us` is what drawing and making a hollow request costs itself."""
-    pair.relist(size.hosts)
-    quiet = pair.quiet(size.seconds)
-    changing = pair.changing(size.changes)
-    loaded = pair.loaded(size.requests_per_second, size.seconds)
+def measure_size(gateways: GatewayPairs, size: Size, draw_us: float) -> Figures:
+    """Measure both kinds at one size.
+
+    `draw_us` is the processor time of drawing and building one request, in µs; it is subtracted for hollow
+    gateways, whose processes draw their own requests.
+    """
+    gateways.replace_host_list(size.hosts)
+    idle_windows = gateways.measure_idle(size.seconds)
+    changing_windows = gateways.measure_changes(size.changes)
+    loaded_windows = gateways.measure_load(size.requests_per_second, size.seconds)
     figures: Figures = {name: {} for name in UNITS}
     for kind in (HOLLOW, REAL):
-        still, moving, busy = quiet[kind], changing[kind], loaded[kind]
-        idle = still.cpu_s / still.seconds  # of all of the kind
-        requests = max(1, busy.requests)
-        own_us = draw_us if kind == HOLLOW else 0.0
-        found = {
-            "discovery_calls": still.discovery.messages_in / still.seconds / EACH,
-            "discovery_bytes": _bytes(still.discovery) / still.seconds / EACH,
-            "one_change_bytes": _bytes(moving.discovery) / size.changes / EACH,
-            "counter_calls_per_request": busy.counter.messages_in / requests,
-            "counter_bytes_per_request": _bytes(busy.counter) / requests,
-            "idle_cpu": 1000 * idle / EACH,
-            "one_change_cpu": 1000 * (moving.cpu_s - idle * moving.seconds) / size.changes / EACH,
-            "request_cpu": 1e6 * (busy.cpu_s - idle * busy.seconds) / requests - own_us,
+        idle, changing, loaded = idle_windows[kind], changing_windows[kind], loaded_windows[kind]
+        idle_cpu = idle.cpu_s / idle.seconds  # of all gateways of the kind together
+        requests = max(1, loaded.requests)
+        excluded_us = draw_us if kind == HOLLOW else 0.0
+        values = {
+            "discovery_calls": idle.discovery.messages_in / idle.seconds / GATEWAYS_PER_KIND,
+            "discovery_bytes": _total_bytes(idle.discovery) / idle.seconds / GATEWAYS_PER_KIND,
+            "one_change_bytes": _total_bytes(changing.discovery) / size.changes / GATEWAYS_PER_KIND,
+            "counter_calls_per_request": loaded.counter.messages_in / requests,
+            "counter_bytes_per_request": _total_bytes(loaded.counter) / requests,
+            "idle_cpu": 1000 * idle_cpu / GATEWAYS_PER_KIND,
+            "one_change_cpu": 1000
+            * (changing.cpu_s - idle_cpu * changing.seconds)
+            / size.changes
+            / GATEWAYS_PER_KIND,
+            "request_cpu": 1e6 * (loaded.cpu_s - idle_cpu * loaded.seconds) / requests - excluded_us,
         }
-        for name, value in found.items():
+        for name, value in values.items():
             figures[name][kind] = value
     return figures
 
 
-def compare(name: str, hosts: int, at: Figures, calibrated: Figures, why: str) -> Comparison:
-    """One figure, hollow against real; what a hollow gateway leaves out is taken from another size."""
-    hollow, real = at[name][HOLLOW], at[name][REAL]
-    corrected = name in CORRECTED
-    correction = calibrated[name][REAL] - calibrated[name][HOLLOW] if corrected else 0.0
+def compare(name: str, hosts: int, figures: Figures, calibration: Figures, explanation: str) -> Comparison:
+    """Compare one figure of hollow and real gateways.
+
+    `calibration` holds the figures at another size, from which the correction for work that a hollow gateway
+    does not do is calculated.
+    """
+    hollow, real = figures[name][HOLLOW], figures[name][REAL]
+    is_corrected = name in CORRECTED_QUANTITIES
+    correction = calibration[name][REAL] - calibration[name][HOLLOW] if is_corrected else 0.0
     ratio = (hollow + correction) / real if real else float(hollow + correction == 0)
-    within = abs(ratio - 1) <= WITHIN
-    return Comparison(name, UNITS[name], hosts, hollow, real, correction, ratio, within, why * corrected)
-
-
-def run_comparison(lab: Lab) -> list[Comparison]:
-    """All comparisons at one size, with corrections from a smaller one."""
-    quick = lab.options.quick
-    seconds, changes, rate = lab.options.window_s, 60 if quick else 200, 60.0 if quick else 100.0
-    hosts = min(lab.options.hosts, 800 if quick else 4000)
-    small = Size(min(LEAST_HOSTS, hosts // 2), rate, seconds, changes)
-    pair = Pair(lab)
-    still = pair.quiet(seconds / 2)[HOLLOW]
-    dry = pair.loaded(rate, seconds, dry=True)[HOLLOW]
-    draw_us = 1e6 * (dry.cpu_s - still.cpu_s * dry.seconds / still.seconds) / max(1, dry.requests)
-    calibrated = measure_pair(pair, small, draw_us)
-    found = measure_pair(pair, Size(hosts, rate, seconds, changes), draw_us)
-    pair.end()
-    why = FIXED_TEXT.format(hosts=small.hosts, rate=small.requests_per_second)
-    comparisons = [compare(name, hosts, found, calibrated, why) for name in UNITS]
-    for one in comparisons:
-        lab.say(
-            f"  {one.quantity}: hollow {one.hollow:.4g} + {one.correction:.4g}, real {one.real:.4g} "
-            f"{one.unit}, ratio {one.ratio:.2f}" + ("" if one.within else ": not within 15%")
+    within = abs(ratio - 1) <= MAX_DEVIATION
+    return Comparison(
+        name, UNITS[name], hosts, hollow, real, correction, ratio, within, explanation * is_corrected
+    )
+
+
+def run_comparison(context: RunContext) -> list[Comparison]:
+    """Compare all figures at one size, with corrections from a smaller size."""
+    quick = context.options.quick
+    seconds, changes, rate = context.options.window_s, 60 if quick else 200, 60.0 if quick else 100.0
+    hosts = min(context.options.hosts, 800 if quick else 4000)
+    calibration_size = Size(min(MIN_HOSTS, hosts // 2), rate, seconds, changes)
+    gateways = GatewayPairs(context)
+    idle = gateways.measure_idle(seconds / 2)[HOLLOW]
+    dry = gateways.measure_load(rate, seconds, dry=True)[HOLLOW]
+    draw_us = 1e6 * (dry.cpu_s - idle.cpu_s * dry.seconds / idle.seconds) / max(1, dry.requests)
+    calibration = measure_size(gateways, calibration_size, draw_us)
+    figures = measure_size(gateways, Size(hosts, rate, seconds, changes), draw_us)
+    gateways.stop()
+    explanation = CORRECTION_EXPLANATION.format(
+        hosts=calibration_size.hosts, rate=calibration_size.requests_per_second
+    )
+    comparisons = [compare(name, hosts, figures, calibration, explanation) for name in UNITS]
+    for comparison in comparisons:
+        context.log(
+            f"  {comparison.quantity}: hollow {comparison.hollow:.4g} + {comparison.correction:.4g}, "
+            f"real {comparison.real:.4g} {comparison.unit}, ratio {comparison.ratio:.2f}"
+            + ("" if comparison.within else ": not within 15%")
         )
     return comparisons
--- a/rainturn/emulator/control_series.py
+++ b/rainturn/emulator/control_series.py
@@ -1,4 +1,7 @@
-"""A gateway's control path against the number of hosts: one hollow gateway, a list, and single changes."""
+"""Slopes of a gateway's control path against the number of hosts: the whole host list and single changes.
+
+They are measured on one hollow gateway.
+"""
 
 from __future__ import annotations
 
@@ -22,7 +25,7 @@
 )
 from rainturn.emulator.gateway_roles import HollowRole
 from rainturn.emulator.hollow import Addresses
-from rainturn.emulator.lab import Lab
+from rainturn.emulator.lab import RunContext
 from rainturn.emulator.measurements import Fault, Quantity, Slope
 from rainturn.emulator.service_roles import CounterRole, DiscoveryRole
 from rainturn.emulator.slopes import measure_slopes
@@ -31,10 +34,10 @@
 from rainturn.emulator.workload import ZONES
 
 ROLE = "gateway control path"
-UNUSED_DIALS = ("127.0.0.1:9",)  # a hollow gateway connects to no host
+UNUSED_HOST_ADDRESSES = ("127.0.0.1:9",)  # a hollow gateway connects to no host
 LABEL = "control"
-ZONE_PART = 1.0 / ZONES
-ZONE_WITHIN_S = 7.0
+ZONE_FRACTION = 1.0 / ZONES
+MAX_ZONE_RETURN_S = 7.0
 
 IDLE_CPU = Quantity(ROLE, "idle_cpu", "ms/s", "hosts")
 LIST_CPU = Quantity(ROLE, "whole_list_cpu", "ms", "hosts")
@@ -42,120 +45,137 @@
 CHANGE_CPU = Quantity(ROLE, "one_change_cpu", "ms", "hosts")
 CHANGE_BYTES = Quantity(ROLE, "one_change_bytes", "bytes", "hosts")
 CHANGE_STALL = Quantity(ROLE, "one_change_longest_stall", "ms", "hosts")
-CHANGE_GAP = Quantity(ROLE, "one_change_longest_gap", "ms", "hosts")  # wall time, other processes too
-HELD = Quantity(ROLE, "list_held_memory", "MB", "hosts")
-PEAK = Quantity(ROLE, "list_peak_memory", "MB", "hosts")
-QUANTITIES = (IDLE_CPU, LIST_CPU, LIST_BYTES, CHANGE_CPU, CHANGE_BYTES, CHANGE_STALL, CHANGE_GAP, HELD, PEAK)
+CHANGE_GAP = Quantity(
+    ROLE, "one_change_longest_gap", "ms", "hosts"
+)  # wall time, so it includes other processes
+HELD_MEMORY = Quantity(ROLE, "list_held_memory", "MB", "hosts")
+PEAK_MEMORY = Quantity(ROLE, "list_peak_memory", "MB", "hosts")
+QUANTITIES = (
+    IDLE_CPU,
+    LIST_CPU,
+    LIST_BYTES,
+    CHANGE_CPU,
+    CHANGE_BYTES,
+    CHANGE_STALL,
+    CHANGE_GAP,
+    HELD_MEMORY,
+    PEAK_MEMORY,
+)
 
 
 @dataclass(frozen=True)
 class Services:
-    """The stand-ins that the series share, and their addresses."""
+    """The stand-ins that all sizes share, and their addresses."""
 
     discovery: Worker
     addresses: Addresses
 
     def traffic_bytes(self) -> int:
-        """Payload bytes that have passed at discovery, both ways."""
+        """Return the payload bytes that discovery has received and sent so far."""
         reading: ServiceReading = self.discovery.ask(Read())
         traffic = reading.traffic[LABEL]
         return traffic.bytes_in + traffic.bytes_out
 
 
-def cpu_s(worker: Worker) -> float:
-    """Processor time of a hollow process so far, in s."""
+def process_cpu_s(worker: Worker) -> float:
+    """Return the processor time of a process of hollow gateways so far, in s."""
     reading: HollowReading = worker.ask(Read())
     return reading.cpu_s
 
 
-def idle_cpu(worker: Worker, seconds: float) -> float:
-    """Processor time per second of a hollow process that gets neither requests nor changes."""
-    before, began = cpu_s(worker), time.monotonic()
+def measure_idle_cpu(worker: Worker, seconds: float) -> float:
+    """Measure the processor time per second of hollow gateways without requests or changes."""
+    before, started_at = process_cpu_s(worker), time.monotonic()
     time.sleep(seconds)
-    return (cpu_s(worker) - before) / (time.monotonic() - began)
+    return (process_cpu_s(worker) - before) / (time.monotonic() - started_at)
 
 
 def measure_control(
-    lab: Lab, services: Services, changes: int, idle_s: float, hosts: int
+    context: RunContext, services: Services, changes: int, idle_s: float, hosts: int
 ) -> Mapping[str, float]:
-    """All control figures of one gateway with so many hosts."""
-    lab.check()
-    services.discovery.ask(SetList(hosts, UNUSED_DIALS))
-    with lab.worker(partial(HollowRole, 1, services.addresses, lab.options.seed)) as worker:
-        held, before, sent = worker.held_mb(), worker.ask(Read()), services.traffic_bytes()
+    """Measure all figures of one gateway's control path with `hosts` hosts."""
+    context.check_limits()
+    services.discovery.ask(SetList(hosts, UNUSED_HOST_ADDRESSES))
+    with context.worker(partial(HollowRole, 1, services.addresses, context.options.seed)) as worker:
+        held_mb, before, traffic_bytes = worker.held_mb(), worker.ask(Read()), services.traffic_bytes()
         joined: Joined = worker.ask(Join((0,)))
-        after, list_bytes = worker.ask(Read()), services.traffic_bytes() - sent
-        list_held = worker.held_mb() - held
-        idle = idle_cpu(worker, idle_s)
-        sent, began, used = services.traffic_bytes(), time.monotonic(), cpu_s(worker)
+        after, list_bytes = worker.ask(Read()), services.traffic_bytes() - traffic_bytes
+        list_held_mb = worker.held_mb() - held_mb
+        idle_cpu = measure_idle_cpu(worker, idle_s)
+        traffic_bytes, started_at, cpu_s = services.traffic_bytes(), time.monotonic(), process_cpu_s(worker)
         services.discovery.ask(ChangeOne(changes, watchers=1))
-        used = cpu_s(worker) - used - idle * (time.monotonic() - began)
-        change_bytes = services.traffic_bytes() - sent
+        cpu_s = process_cpu_s(worker) - cpu_s - idle_cpu * (time.monotonic() - started_at)
+        change_bytes = services.traffic_bytes() - traffic_bytes
         worker.ask(WatchStalls(True))
         services.discovery.ask(ChangeOne(changes, watchers=1))
         stalls: Stalls = worker.ask(WatchStalls(False))
     return {
-        IDLE_CPU.name: idle * 1000,
+        IDLE_CPU.name: idle_cpu * 1000,
         LIST_CPU.name: joined.cpu_s * 1000,
         LIST_BYTES.name: float(list_bytes),
-        CHANGE_CPU.name: max(0.0, used) * 1000 / changes,
+        CHANGE_CPU.name: max(0.0, cpu_s) * 1000 / changes,
         CHANGE_BYTES.name: change_bytes / changes,
         CHANGE_STALL.name: stalls.used_ms,
         CHANGE_GAP.name: stalls.passed_ms,
-        HELD.name: list_held,
-        PEAK.name: after.peak_mb - before.peak_mb,
+        HELD_MEMORY.name: list_held_mb,
+        PEAK_MEMORY.name: after.peak_mb - before.peak_mb,
     }
 
 
-def play_zone(lab: Lab, services: Services, hosts: int, how: str) -> list[Fault]:
-    """A zone's hosts are lost and return: one gateway's processor time and longest stall."""
-    services.discovery.ask(SetList(hosts, UNUSED_DIALS))
-    over_s = min(ZONE_WITHIN_S, 3.5 * lab.options.window_s)
-    back = {
-        "one_list": Zone(ZONE_PART, lost=False),
-        "single_changes": Zone(ZONE_PART, lost=False, as_one=False, watchers=1),
-        "stream_of_changes": Zone(ZONE_PART, lost=False, as_one=False, over_s=over_s),
-    }[how]
-    with lab.worker(partial(HollowRole, 1, services.addresses, lab.options.seed)) as worker:
+def measure_zone_return(context: RunContext, services: Services, hosts: int, change_mode: str) -> list[Fault]:
+    """Measure one gateway's processor time and longest stall while a lost zone's hosts return.
+
+    `change_mode` says how the hosts return: "one_list", "single_changes" or "stream_of_changes".
+    """
+    services.discovery.ask(SetList(hosts, UNUSED_HOST_ADDRESSES))
+    over_s = min(MAX_ZONE_RETURN_S, 3.5 * context.options.window_s)
+    zone_return = {
+        "one_list": Zone(ZONE_FRACTION, lost=False),
+        "single_changes": Zone(ZONE_FRACTION, lost=False, as_one=False, watchers=1),
+        "stream_of_changes": Zone(ZONE_FRACTION, lost=False, as_one=False, over_s=over_s),
+    }[change_mode]
+    with context.worker(partial(HollowRole, 1, services.addresses, context.options.seed)) as worker:
         worker.ask(Join((0,)))
-        idle = idle_cpu(worker, lab.settle_s)
-        services.discovery.ask(Zone(ZONE_PART, lost=True))
-        time.sleep(lab.settle_s)
+        idle_cpu = measure_idle_cpu(worker, context.settle_s)
+        services.discovery.ask(Zone(ZONE_FRACTION, lost=True))
+        time.sleep(context.settle_s)
         worker.ask(WatchStalls(True))
-        used, began = cpu_s(worker), time.monotonic()
-        changed: Changed = services.discovery.ask(back, within_s=max(60.0, lab.left_s()))
-        time.sleep(lab.settle_s)
-        used = cpu_s(worker) - used - idle * (time.monotonic() - began)
+        cpu_s, started_at = process_cpu_s(worker), time.monotonic()
+        changed: Changed = services.discovery.ask(zone_return, within_s=max(60.0, context.remaining_s()))
+        time.sleep(context.settle_s)
+        cpu_s = process_cpu_s(worker) - cpu_s - idle_cpu * (time.monotonic() - started_at)
         stalls: Stalls = worker.ask(WatchStalls(False))
-    note = f"{round(hosts * ZONE_PART)} of {hosts} hosts return cold in {changed.versions} versions"
-    if back.over_s:
+    note = f"{round(hosts * ZONE_FRACTION)} of {hosts} hosts return cold in {changed.versions} versions"
+    if zone_return.over_s:
         note += f" over {over_s:g} s"
-    name = f"zone back, {how.replace('_', ' ')}"
+    name = f"zone back, {change_mode.replace('_', ' ')}"
     return [
-        Fault(name, "gateway_cpu", "ms", max(0.0, used) * 1000, note),
+        Fault(name, "gateway_cpu", "ms", max(0.0, cpu_s) * 1000, note),
         Fault(name, "longest_stall", "ms", stalls.used_ms, note),
         Fault(name, "longest_gap", "ms", stalls.passed_ms, note),
     ]
 
 
-def run_control_series(lab: Lab, sizes: tuple[int, ...], held_out: int) -> tuple[list[Slope], list[Fault]]:
-    """The slopes of the control path, and a zone's return at the largest size."""
-    changes, idle_s = 20 if lab.options.quick else 60, lab.options.window_s / 2
+def run_control_series(
+    context: RunContext, sizes: tuple[int, ...], held_out_size: int
+) -> tuple[list[Slope], list[Fault]]:
+    """Measure the slopes of the control path, and a zone's return at the held-out size."""
+    changes, idle_s = 20 if context.options.quick else 60, context.options.window_s / 2
     with (
-        lab.worker(partial(DiscoveryRole, lab.options.seed)) as discovery,
-        lab.worker(CounterRole) as counter,
+        context.worker(partial(DiscoveryRole, context.options.seed)) as discovery,
+        context.worker(CounterRole) as counter,
     ):
         addresses = Addresses(discovery.ask(Listen(LABEL)), counter.ask(Listen(LABEL)))
         services = Services(discovery, addresses)
-        measure = partial(measure_control, lab, services, changes, idle_s)
-        slopes = measure_slopes(QUANTITIES, sizes, held_out, measure, lab.say)
+        measure = partial(measure_control, context, services, changes, idle_s)
+        slopes = measure_slopes(QUANTITIES, sizes, held_out_size, measure, context.log)
         faults: list[Fault] = []
-        ways = ["one_list", "stream_of_changes"]
-        if not lab.options.quick:  # these take minutes where a change costs much
-            ways.append("single_changes")
-        for how in ways:
-            found = play_zone(lab, services, held_out, how)
-            for fault in found:
-                lab.say(f"  {fault.name}: {fault.quantity} {fault.value:.4g} {fault.unit} ({fault.note})")
-            faults += found
+        change_modes = ["one_list", "stream_of_changes"]
+        if not context.options.quick:  # single changes take minutes when each costs much processor time
+            change_modes.append("single_changes")
+        for change_mode in change_modes:
+            zone_faults = measure_zone_return(context, services, held_out_size, change_mode)
+            for fault in zone_faults:
+                context.log(f"  {fault.name}: {fault.quantity} {fault.value:.4g} {fault.unit} ({fault.note})")
+            faults += zone_faults
     return slopes, faults
--- a/rainturn/emulator/counter_series.py
+++ b/rainturn/emulator/counter_series.py
@@ -1,4 +1,7 @@
-"""The counter's traffic and customers' memory as slopes; each size has a virtual clock and a process."""
+"""Slopes of the counter's traffic and of the memory of customers.
+
+Each size is measured on a virtual clock in a process of its own.
+"""
 
 from __future__ import annotations
 
@@ -6,102 +9,118 @@
 from dataclasses import replace
 from typing import Any
 
-from rainturn.emulator.lab import Lab
+from rainturn.emulator.lab import RunContext
 from rainturn.emulator.measurements import Fault, Quantity, Slope
 from rainturn.emulator.slopes import measure_slopes
 from rainturn.emulator.virtual_fleet import VirtualPlan
-from rainturn.emulator.virtual_series import Partition, counter_traffic, customers_memory, partition
+from rainturn.emulator.virtual_series import (
+    PartitionDurations,
+    measure_counter_traffic,
+    measure_customers_memory,
+    measure_partition,
+)
 
-CONTROL = "gateway control path"
-HOSTS = 50  # few: the list is measured elsewhere
-GATEWAYS = 4  # that share their tenants
-TENANTS_MOST = 100_000
+CONTROL_PATH = "gateway control path"
+HOSTS = 50  # a short list: the cost of the host list is measured elsewhere
+GATEWAYS = 4  # gateways that share their tenants
+MAX_TENANTS = 100_000
 
 
 def traffic_quantities(per: str) -> tuple[Quantity, ...]:
-    """The counter's traffic against requests a second a gateway, or against tenants."""
+    """Return the quantities of the counter's traffic against `per`: requests/s per gateway, or tenants."""
     return (
-        Quantity(CONTROL, "calls_per_request", "calls", per),
-        Quantity(CONTROL, "bytes_per_request", "bytes", per),
-        Quantity(CONTROL, "calls_per_gateway", "calls/s", per),
-        Quantity(CONTROL, "bytes_per_gateway", "bytes/s", per),
-        Quantity(CONTROL, "customers_memory", "MB", per),
+        Quantity(CONTROL_PATH, "calls_per_request", "calls", per),
+        Quantity(CONTROL_PATH, "bytes_per_request", "bytes", per),
+        Quantity(CONTROL_PATH, "calls_per_gateway", "calls/s", per),
+        Quantity(CONTROL_PATH, "bytes_per_gateway", "bytes/s", per),
+        Quantity(CONTROL_PATH, "customers_memory", "MB", per),
     )
 
 
-MEMORY = Quantity(CONTROL, "customers_memory", "MB", "customers")
-EACH = Quantity(CONTROL, "bytes_per_customer", "bytes", "customers")
+CUSTOMERS_MEMORY = Quantity(CONTROL_PATH, "customers_memory", "MB", "customers")
+BYTES_PER_CUSTOMER = Quantity(CONTROL_PATH, "bytes_per_customer", "bytes", "customers")
 
 
-def side_by_side(
-    lab: Lab, sizes: Sequence[int], at_once: int, start: Callable[[int], Any]
+def measure_concurrently(
+    context: RunContext, sizes: Sequence[int], max_running: int, start: Callable[[int], Any]
 ) -> Callable[[int], Mapping[str, float]]:
-    """Start calls for several sizes at once, and give each size's result when it is asked for.
+    """Return a function that gives the result for a size, with up to `max_running` calls at the same time.
 
-    The held-out size is not among `sizes`: it is started only when it is asked for.
+    The calls for `sizes` are started ahead of their use. The held-out size is not among `sizes`: its call
+    starts when its result is requested.
     """
     waiting, running = list(sizes), dict[int, Any]()
 
-    def fill() -> None:
-        while waiting and len(running) < at_once:
+    def start_waiting() -> None:
+        while waiting and len(running) < max_running:
             size = waiting.pop(0)
             running[size] = start(size)
 
     def measure(size: int) -> Mapping[str, float]:
-        fill()
+        start_waiting()
         call = running.pop(size) if size in running else start(size)
-        found: Mapping[str, float] = lab.result(call)
-        fill()
-        return found
+        figures: Mapping[str, float] = context.wait_for_result(call)
+        start_waiting()
+        return figures
 
     return measure
 
 
 def run_counter_series(
-    lab: Lab, rates: Sequence[int], held_rate: int, tenants: Sequence[int], held_tenants: int, seconds: float
+    context: RunContext,
+    rates: Sequence[int],
+    held_out_rate: int,
+    tenants: Sequence[int],
+    held_out_tenants: int,
+    seconds: float,
 ) -> list[Slope]:
-    """Calls and bytes against the requests a second that a gateway gets, and against tenants."""
-    plan = VirtualPlan(GATEWAYS, 1, HOSTS, held_tenants, 1.0, lab.options.seed)
-    at_once = 2 if lab.options.quick else 4
+    """Measure the counter's calls and bytes against the requests/s of a gateway, and against tenants."""
+    plan = VirtualPlan(GATEWAYS, 1, HOSTS, held_out_tenants, 1.0, context.options.seed)
+    max_running = 2 if context.options.quick else 4
 
-    def by_rate(rate: int) -> Any:
-        return lab.fresh(counter_traffic, replace(plan, requests_per_second=float(rate * GATEWAYS)), seconds)
+    def start_at_rate(rate: int) -> Any:
+        return context.call_in_process(
+            measure_counter_traffic, replace(plan, requests_per_second=float(rate * GATEWAYS)), seconds
+        )
 
-    def by_tenants(count: int) -> Any:
-        full = replace(plan, tenants=count, requests_per_second=float(held_rate * GATEWAYS))
-        return lab.fresh(counter_traffic, full, seconds)
+    def start_with_tenants(count: int) -> Any:
+        full_rate = replace(plan, tenants=count, requests_per_second=float(held_out_rate * GATEWAYS))
+        return context.call_in_process(measure_counter_traffic, full_rate, seconds)
 
     slopes = measure_slopes(
         traffic_quantities("requests/s a gateway"),
         rates,
-        held_rate,
-        side_by_side(lab, rates, at_once, by_rate),
-        lab.say,
+        held_out_rate,
+        measure_concurrently(context, rates, max_running, start_at_rate),
+        context.log,
     )
     slopes += measure_slopes(
         traffic_quantities("tenants"),
         tenants,
-        held_tenants,
-        side_by_side(lab, tenants, at_once, by_tenants),
-        lab.say,
+        held_out_tenants,
+        measure_concurrently(context, tenants, max_running, start_with_tenants),
+        context.log,
     )
     return slopes
 
 
-def run_customers_series(lab: Lab, sizes: Sequence[int], held_out: int) -> list[Slope]:
-    """Memory against customers held at once."""
-    plan = VirtualPlan(1, 1, HOSTS, 1, 1.0, lab.options.seed)
-    at_once = 2 if lab.options.quick else 4
-    measure = side_by_side(
-        lab, sizes, at_once, lambda count: lab.fresh(customers_memory, replace(plan, tenants=count))
+def run_customers_series(context: RunContext, sizes: Sequence[int], held_out_size: int) -> list[Slope]:
+    """Measure memory against the number of customers that a gateway holds at once."""
+    plan = VirtualPlan(1, 1, HOSTS, 1, 1.0, context.options.seed)
+    max_running = 2 if context.options.quick else 4
+    measure = measure_concurrently(
+        context,
+        sizes,
+        max_running,
+        lambda count: context.call_in_process(measure_customers_memory, replace(plan, tenants=count)),
     )
-    return measure_slopes((MEMORY, EACH), sizes, held_out, measure, lab.say)
+    return measure_slopes((CUSTOMERS_MEMORY, BYTES_PER_CUSTOMER), sizes, held_out_size, measure, context.log)
 
 
-def run_partition(lab: Lab, plan: VirtualPlan, lengths: Partition) -> list[Fault]:
-    """The counter cut off from one region."""
-    found: list[Fault] = lab.result(lab.fresh(partition, plan, lengths))
-    for fault in found:
-        lab.say(f"  {fault.name}: {fault.quantity} {fault.value:.4g} {fault.unit}")
-    lab.say(f"  ({found[0].note})")
-    return found
+def run_partition(context: RunContext, plan: VirtualPlan, durations: PartitionDurations) -> list[Fault]:
+    """Measure the fleet while the counter is cut off from one region."""
+    faults: list[Fault] = context.wait_for_result(context.call_in_process(measure_partition, plan, durations))
+    for fault in faults:
+        context.log(f"  {fault.name}: {fault.quantity} {fault.value:.4g} {fault.unit}")
+    context.log(f"  ({faults[0].note})")
+    return faults
--- a/rainturn/emulator/fleet.py
+++ b/rainturn/emulator/fleet.py
@@ -1,4 +1,4 @@
-"""A fleet of hollow gateways over several processes, with the stand-ins that they share."""
+"""A fleet of hollow gateways in several processes, and the stand-ins that they share."""
 
 from __future__ import annotations
 
@@ -22,20 +22,20 @@
 )
 from rainturn.emulator.gateway_roles import HollowRole
 from rainturn.emulator.hollow import Addresses
-from rainturn.emulator.lab import Lab
+from rainturn.emulator.lab import RunContext
 from rainturn.emulator.service_roles import CounterRole, DiscoveryRole
 from rainturn.emulator.traffic import Traffic
 from rainturn.emulator.workers import Worker, ask_all
 
 HOLLOW = "hollow"
-JOIN_S = 120.0
+JOIN_TIMEOUT_S = 120.0
 
 
 @dataclass(frozen=True)
 class FleetReading:
-    """What a fleet and its stand-ins have done so far: processor time in s, traffic, requests, and when."""
+    """Totals of a fleet and its stand-ins at one time: processor time in s, traffic and requests."""
 
-    at: float  # monotonic, s
+    taken_at: float  # monotonic, s
     discovery_cpu_s: float
     discovery: Traffic
     counter_cpu_s: float
@@ -46,7 +46,7 @@
 
 @dataclass(frozen=True)
 class FleetWindow:
-    """The same over a window of `seconds`."""
+    """Totals of a fleet and its stand-ins over a window of `seconds`."""
 
     seconds: float
     discovery_cpu_s: float
@@ -58,37 +58,41 @@
 
 
 class Fleet:
-    """Hollow gateways, spread evenly over some processes. End it by the lab."""
+    """Hollow gateways, distributed evenly over processes that the run context starts and stops."""
 
-    def __init__(self, lab: Lab, gateways: int, processes: int) -> None:
-        self.lab, self.most = lab, gateways
-        self.discovery = lab.start(partial(DiscoveryRole, lab.options.seed))
-        self.counter = lab.start(CounterRole)
+    def __init__(self, context: RunContext, max_gateways: int, processes: int) -> None:
+        self.context, self.max_gateways = context, max_gateways
+        self.discovery = context.start_worker(partial(DiscoveryRole, context.options.seed))
+        self.counter = context.start_worker(CounterRole)
         for worker in (self.discovery, self.counter):
             worker.ready()
         self.addresses = Addresses(self.discovery.ask(Listen(HOLLOW)), self.counter.ask(Listen(HOLLOW)))
-        role = partial(HollowRole, gateways, self.addresses, lab.options.seed)
-        self.hollow = [lab.start(role) for _ in range(processes)]
+        role = partial(HollowRole, max_gateways, self.addresses, context.options.seed)
+        self.hollow = [context.start_worker(role) for _ in range(processes)]
         for worker in self.hollow:
             worker.ready()
-        self.numbers: list[int] = []
+        self.numbers: list[int] = []  # of the running gateways
 
-    def _home(self, number: int) -> Worker:
+    def _worker_of(self, number: int) -> Worker:
         return self.hollow[number % len(self.hollow)]
 
-    def _by_home(self, numbers: Iterable[int]) -> list[tuple[Worker, tuple[int, ...]]]:
+    def _by_worker(self, numbers: Iterable[int]) -> list[tuple[Worker, tuple[int, ...]]]:
         shares: dict[int, list[int]] = {}
         for number in numbers:
             shares.setdefault(number % len(self.hollow), []).append(number)
-        return [(self.hollow[home], tuple(share)) for home, share in shares.items()]
+        return [(self.hollow[index], tuple(share)) for index, share in shares.items()]
 
-    def join(self, numbers: Iterable[int], within_s: float = JOIN_S) -> Joined:
-        """Start gateways at once: how long until all have a list, and the processor time of all, in s."""
-        shares = self._by_home(numbers)
+    def join(self, numbers: Iterable[int], timeout_s: float = JOIN_TIMEOUT_S) -> Joined:
+        """Start gateways at once, and wait until all have a host list or the timeout passes.
+
+        The result holds the longest time and the processor time of all processes, in s, and the number of
+        gateways that got no list.
+        """
+        shares = self._by_worker(numbers)
         for worker, share in shares:
-            worker.send(Join(share, within_s))
+            worker.send(Join(share, timeout_s))
             self.numbers += share
-        answers: list[Joined] = [worker.receive(within_s + 20) for worker, _ in shares]
+        answers: list[Joined] = [worker.receive(timeout_s + 20) for worker, _ in shares]
         return Joined(
             max(answer.took_s for answer in answers),
             sum(answer.cpu_s for answer in answers),
@@ -96,32 +100,35 @@
         )
 
     def leave(self, numbers: Iterable[int]) -> None:
-        """End gateways."""
-        shares = self._by_home(numbers)
+        """Stop gateways."""
+        shares = self._by_worker(numbers)
         for worker, share in shares:
             worker.send(Leave(share))
         for worker, share in shares:
             worker.receive()
             self.numbers = [number for number in self.numbers if number not in share]
 
-    def in_force(self, changed: Changed, within_s: float) -> list[float]:
-        """How long after a change each gateway has it, in s; gateways that do not get it are left out."""
+    def distribution_times(self, changed: Changed, timeout_s: float) -> list[float]:
+        """Return the sorted times from a change until each gateway has it, in s.
+
+        Gateways that do not get it within the timeout are left out.
+        """
         answers = ask_all(
-            self.hollow, AwaitVersion(changed.version, changed.at, within_s), within_s=within_s + 20
+            self.hollow, AwaitVersion(changed.version, changed.at, timeout_s), within_s=timeout_s + 20
         )
-        return sorted(took for times in answers for took in times)
+        return sorted(time_s for times_s in answers for time_s in times_s)
 
-    def load(self, requests_per_second: float, tenants: int) -> None:
-        """Begin to draw requests for a whole fleet of the present number of gateways."""
-        options = self.lab.options
+    def start_load(self, requests_per_second: float, tenants: int) -> None:
+        """Start requests to a fleet of the present number of gateways, at a rate for all of them together."""
+        options = self.context.options
         ask_all(self.hollow, LoadOn(requests_per_second, tenants, len(self.numbers), options.seed))
 
-    def unload(self) -> None:
-        """Draw no more."""
+    def stop_load(self) -> None:
+        """Stop the requests."""
         ask_all(self.hollow, LoadOff())
 
     def read(self) -> FleetReading:
-        """What has been done so far."""
+        """Return the totals so far."""
         discovery: ServiceReading = self.discovery.ask(Read())
         counter: ServiceReading = self.counter.ask(Read())
         hollow: list[HollowReading] = ask_all(self.hollow, Read())
@@ -136,10 +143,10 @@
         )
 
     def since(self, before: FleetReading) -> FleetWindow:
-        """What has been done since a reading."""
+        """Return the totals since a reading."""
         now = self.read()
         return FleetWindow(
-            now.at - before.at,
+            now.taken_at - before.taken_at,
             now.discovery_cpu_s - before.discovery_cpu_s,
             now.discovery.since(before.discovery),
             now.counter_cpu_s - before.counter_cpu_s,
@@ -148,12 +155,12 @@
             now.requests - before.requests,
         )
 
-    def window(self, seconds: float) -> FleetWindow:
-        """Let time pass, and return what was done meanwhile."""
+    def measure(self, seconds: float) -> FleetWindow:
+        """Return the totals over a window of `seconds` that begins now."""
         before = self.read()
         time.sleep(seconds)
         return self.since(before)
 
-    def end(self) -> None:
-        """End all processes of the fleet."""
-        self.lab.end(*self.hollow, self.discovery, self.counter)
+    def stop(self) -> None:
+        """Stop all processes of the fleet."""
+        self.context.stop(*self.hollow, self.discovery, self.counter)
--- a/rainturn/emulator/fleet_faults.py
+++ b/rainturn/emulator/fleet_faults.py
@@ -1,4 +1,4 @@
-"""Faults of a whole fleet: a zone lost and back, a restart storm, and a list service that is slow."""
+"""Faults of a whole fleet: a zone is lost and returns, many gateways restart, and discovery is slow."""
 
 from __future__ import annotations
 
@@ -7,88 +7,98 @@
 from functools import partial
 
 from rainturn.emulator.commands import Changed, ChangeOne, Slow, Zone
-from rainturn.emulator.control_series import ZONE_PART
+from rainturn.emulator.control_series import ZONE_FRACTION
 from rainturn.emulator.fleet import Fleet, FleetReading
-from rainturn.emulator.lab import Lab
+from rainturn.emulator.lab import RunContext
 from rainturn.emulator.measurements import Fault
 
-RESTARTED_PART = 0.7  # of the gateways are killed at once, as on the standing test's worst day
-SLOW_MS = 5.0  # for each answer of a slow service, one after another
-WITHIN_S = 30.0
+RESTARTED_FRACTION = 0.7  # of the gateways restart at once, as on the worst day of the standing test
+SLOW_ANSWER_MS = 5.0  # for each answer of a slow discovery service; it answers one call after another
+TIMEOUT_S = 30.0
 
 
-def _cost(fleet: Fleet, before: FleetReading, name: str, note: str, took_s: float) -> list[Fault]:
-    """What a fault cost all gateways and discovery since a reading."""
-    spent = fleet.since(before)
-    sent = spent.discovery.bytes_out
+def _fault_figures(
+    fleet: Fleet, before: FleetReading, name: str, note: str, in_force_s: float
+) -> list[Fault]:
+    """Return what a fault has cost all gateways and discovery since a reading."""
+    totals = fleet.since(before)
+    bytes_out = totals.discovery.bytes_out
     gateways = max(1, len(fleet.numbers))
     return [
-        Fault(name, "in_force_everywhere", "s", took_s, note),
-        Fault(name, "cpu_per_gateway", "ms", 1000 * spent.hollow_cpu_s / gateways, note),
-        Fault(name, "discovery_cpu", "ms", 1000 * spent.discovery_cpu_s, note),
-        Fault(name, "discovery_bytes_out", "MB", sent / 1e6, note),
-        Fault(name, "discovery_calls", "calls", float(spent.discovery.messages_in), note),
-        Fault(name, "whole_lists", "lists", float(spent.discovery.whole_lists), note),
+        Fault(name, "in_force_everywhere", "s", in_force_s, note),
+        Fault(name, "cpu_per_gateway", "ms", 1000 * totals.hollow_cpu_s / gateways, note),
+        Fault(name, "discovery_cpu", "ms", 1000 * totals.discovery_cpu_s, note),
+        Fault(name, "discovery_bytes_out", "MB", bytes_out / 1e6, note),
+        Fault(name, "discovery_calls", "calls", float(totals.discovery.messages_in), note),
+        Fault(name, "whole_lists", "lists", float(totals.discovery.whole_lists), note),
     ]
 
 
-def _took(reached: Sequence[float], gateways: int) -> float:
-    return reached[-1] if len(reached) == gateways and reached else WITHIN_S
+def _in_force_s(times_s: Sequence[float], gateways: int) -> float:
+    return times_s[-1] if len(times_s) == gateways and times_s else TIMEOUT_S
 
 
-def play_zone_lost(lab: Lab, fleet: Fleet) -> list[Fault]:
-    """A zone with a twelfth of gateways and hosts is lost, and all of it returns at once."""
-    lab.check()
-    everyone = sorted(fleet.numbers)
-    lost = everyone[: max(1, round(ZONE_PART * len(everyone)))]
+def measure_zone_lost(context: RunContext, fleet: Fleet) -> list[Fault]:
+    """Measure the loss of a zone with a twelfth of all gateways and hosts, and its return at once."""
+    context.check_limits()
+    gateways = sorted(fleet.numbers)
+    lost = gateways[: max(1, round(ZONE_FRACTION * len(gateways)))]
     before = fleet.read()
     fleet.leave(lost)
-    gone: Changed = fleet.discovery.ask(Zone(ZONE_PART, lost=True))
-    took_s = _took(fleet.in_force(gone, WITHIN_S), len(fleet.numbers))
-    note = f"{len(lost)} of {len(everyone)} gateways and a twelfth of the hosts, one version"
-    found = _cost(fleet, before, "zone lost", note, took_s)
+    zone_loss: Changed = fleet.discovery.ask(Zone(ZONE_FRACTION, lost=True))
+    in_force_s = _in_force_s(fleet.distribution_times(zone_loss, TIMEOUT_S), len(fleet.numbers))
+    note = f"{len(lost)} of {len(gateways)} gateways and a twelfth of the hosts, one version"
+    faults = _fault_figures(fleet, before, "zone lost", note, in_force_s)
     before = fleet.read()
-    back: Changed = fleet.discovery.ask(Zone(ZONE_PART, lost=False))
+    zone_return: Changed = fleet.discovery.ask(Zone(ZONE_FRACTION, lost=False))
     joined = fleet.join(lost)
-    took_s = max(joined.took_s, _took(fleet.in_force(back, WITHIN_S), len(fleet.numbers)))
-    return found + _cost(fleet, before, "zone back", note, took_s)
+    in_force_s = max(
+        joined.took_s, _in_force_s(fleet.distribution_times(zone_return, TIMEOUT_S), len(fleet.numbers))
+    )
+    return faults + _fault_figures(fleet, before, "zone back", note, in_force_s)
 
 
-def play_restarts(lab: Lab, fleet: Fleet, name: str) -> list[Fault]:
-    """Seven in ten gateways start again at once; all of them fetch the whole list."""
-    lab.check()
-    everyone = sorted(fleet.numbers)
-    restarted = everyone[: round(RESTARTED_PART * len(everyone))]
+def measure_restarts(context: RunContext, fleet: Fleet, name: str) -> list[Fault]:
+    """Measure the restart of seven in ten gateways at once; each of them fetches the whole list."""
+    context.check_limits()
+    gateways = sorted(fleet.numbers)
+    restarted = gateways[: round(RESTARTED_FRACTION * len(gateways))]
     before = fleet.read()
     fleet.leave(restarted)
-    joined = fleet.join(restarted, WITHIN_S)
-    note = f"{len(restarted)} of {len(everyone)} gateways start again at once"
-    without = Fault(name, "without_list", "gateways", float(joined.without_list), f"after {WITHIN_S:g} s")
-    return [without, *_cost(fleet, before, name, note, joined.took_s)]
-
-
-def play_slow_service(lab: Lab, fleet: Fleet) -> list[Fault]:
-    """Discovery takes long for each answer: a change, and then a restart storm."""
-    lab.check()
-    fleet.discovery.ask(Slow(SLOW_MS))
+    joined = fleet.join(restarted, TIMEOUT_S)
+    note = f"{len(restarted)} of {len(gateways)} gateways start again at once"
+    without_list = Fault(
+        name, "without_list", "gateways", float(joined.without_list), f"after {TIMEOUT_S:g} s"
+    )
+    return [without_list, *_fault_figures(fleet, before, name, note, joined.took_s)]
+
+
+def measure_slow_discovery(context: RunContext, fleet: Fleet) -> list[Fault]:
+    """Measure a change of the host list, and then many restarts, while discovery is slow to answer."""
+    context.check_limits()
+    fleet.discovery.ask(Slow(SLOW_ANSWER_MS))
     try:
-        time.sleep(lab.settle_s)
+        time.sleep(context.settle_s)
         before = fleet.read()
         changed: Changed = fleet.discovery.ask(ChangeOne(1, every_s=0.001))
-        took_s = _took(fleet.in_force(changed, WITHIN_S), len(fleet.numbers))
-        note = f"{SLOW_MS:g} ms for each answer, {len(fleet.numbers)} gateways"
-        found = _cost(fleet, before, "slow list service, one change", note, took_s)
-        found += play_restarts(lab, fleet, "slow list service, restart storm")
+        in_force_s = _in_force_s(fleet.distribution_times(changed, TIMEOUT_S), len(fleet.numbers))
+        note = f"{SLOW_ANSWER_MS:g} ms for each answer, {len(fleet.numbers)} gateways"
+        faults = _fault_figures(fleet, before, "slow list service, one change", note, in_force_s)
+        faults += measure_restarts(context, fleet, "slow list service, restart storm")
     finally:
         fleet.discovery.ask(Slow(0.0))
-    return found
-
-
-def run_fleet_faults(lab: Lab, fleet: Fleet) -> list[Fault]:
-    """All of them, on a fleet that has been measured."""
-    found: list[Fault] = []
-    for play in (play_zone_lost, partial(play_restarts, name="restart storm"), play_slow_service):
-        for fault in play(lab, fleet):
-            lab.say(f"  {fault.name}: {fault.quantity} {fault.value:.4g} {fault.unit} ({fault.note})")
-            found.append(fault)
-    return found
+    return faults
+
+
+def run_fleet_faults(context: RunContext, fleet: Fleet) -> list[Fault]:
+    """Measure all faults, one after another, on a fleet of full size."""
+    faults: list[Fault] = []
+    for measure_fault in (
+        measure_zone_lost,
+        partial(measure_restarts, name="restart storm"),
+        measure_slow_discovery,
+    ):
+        for fault in measure_fault(context, fleet):
+            context.log(f"  {fault.name}: {fault.quantity} {fault.value:.4g} {fault.unit} ({fault.note})")
+            faults.append(fault)
+    return faults
--- a/rainturn/emulator/lab.py
+++ b/rainturn/emulator/lab.py
@@ -1,4 +1,4 @@
-"""The processes of one scale run: started here, watched for memory, and ended with the run."""
+"""The context of one scale run: its options, its limits of time and memory, and the processes it starts."""
 
 from __future__ import annotations
 
@@ -16,21 +16,21 @@
 from rainturn.emulator.workers import FreshCall, Role, Worker
 
 MB = 1 << 20
-MEMORY_PART = 0.5  # of the machine's memory that a run may hold
-MOST_PROCESSES = 200
-SAMPLE_S = 0.25
+MAX_MEMORY_FRACTION = 0.5  # of the machine's memory
+MAX_PROCESSES = 200
+MEMORY_SAMPLE_INTERVAL_S = 0.25
 
 
 T = TypeVar("T", Worker, FreshCall, RealGateway)
 
 
 class OverBudget(Exception):
-    """The run would take more memory, processes or time than it may."""
+    """The run would exceed its limit of memory, processes or time."""
 
 
 @dataclass(frozen=True)
 class Options:
-    """What a scale run is asked for: sizes, load, and how long one figure is measured, in s."""
+    """The sizes and the load of a scale run; `window_s` is how long one figure is measured, in s."""
 
     gateways: int
     hosts: int
@@ -42,116 +42,119 @@
     window_s: float
 
 
-class Lab:
-    """Starts processes and ends each of them, whatever happens."""
+class RunContext:
+    """Starts the processes of a scale run within its limits, and stops all of them when the run ends.
 
-    def __init__(self, options: Options, say: Callable[[str], None], within_s: float) -> None:
+    It is a context manager: leaving the block stops every process, also after an error.
+    """
+
+    def __init__(self, options: Options, log: Callable[[str], None], time_limit_s: float) -> None:
         self.options = options
-        self.settle_s = min(1.0, options.window_s / 4)  # how long what has been begun may take to go evenly
-        self._say = say
-        self.began = time.monotonic()
-        self.until = self.began + within_s
-        self.processes = 0  # started so far
-        self.peak_mb = 0.0
-        self.over_memory = False
-        self._limit_mb = MEMORY_PART * psutil.virtual_memory().total / MB
+        self.settle_s = min(1.0, options.window_s / 4)  # wait before a measurement, until activity is steady
+        self._log = log
+        self.started_at = time.monotonic()
+        self.deadline = self.started_at + time_limit_s
+        self.processes_started = 0
+        self.peak_memory_mb = 0.0
+        self.exceeded_memory = False
+        self._memory_limit_mb = MAX_MEMORY_FRACTION * psutil.virtual_memory().total / MB
         self._running: dict[int, Worker | FreshCall | RealGateway] = {}
         self._lock = threading.Lock()
-        self._over = threading.Event()
-        self._sampler = threading.Thread(target=self._sample, daemon=True)
+        self._ending = threading.Event()
+        self._memory_sampler = threading.Thread(target=self._sample_memory, daemon=True)
 
-    def __enter__(self) -> Lab:
-        self._sampler.start()
+    def __enter__(self) -> RunContext:
+        self._memory_sampler.start()
         return self
 
     def __exit__(
         self, kind: type[BaseException] | None, error: BaseException | None, trace: TracebackType | None
     ) -> None:
         with self._lock:
-            self._over.set()
-        self._sampler.join()
-        for started in list(self._running.values()):
-            started.stop()
+            self._ending.set()
+        self._memory_sampler.join()
+        for process in list(self._running.values()):
+            process.stop()
         self._running.clear()
 
-    def say(self, text: str) -> None:
-        """Show how far the run is."""
-        self._say(f"[{time.monotonic() - self.began:6.1f} s] {text}")
+    def log(self, text: str) -> None:
+        """Report progress, with the time since the start of the run."""
+        self._log(f"[{time.monotonic() - self.started_at:6.1f} s] {text}")
 
     @property
-    def closed(self) -> bool:
+    def is_ending(self) -> bool:
         """Whether the run is being ended."""
-        return self._over.is_set()
+        return self._ending.is_set()
 
-    def left_s(self) -> float:
-        """How long the run may still take."""
-        return self.until - time.monotonic()
+    def remaining_s(self) -> float:
+        """Return the time that is left to the run, in s; negative once the time limit has passed."""
+        return self.deadline - time.monotonic()
 
-    def check(self) -> None:
-        """Raise `OverBudget` when the run has used up its time or memory."""
-        if self.over_memory:
-            raise OverBudget(f"over {self._limit_mb:.0f} MB")
-        if self.left_s() <= 0:
+    def check_limits(self) -> None:
+        """Raise `OverBudget` if the run has used up its time or memory."""
+        if self.exceeded_memory:
+            raise OverBudget(f"over {self._memory_limit_mb:.0f} MB")
+        if self.remaining_s() <= 0:
             raise OverBudget("out of time")
 
-    def _begin(self, make: Callable[[], T]) -> T:
-        """Start one process, if the run may have one more."""
-        self.check()
+    def _start_process(self, create: Callable[[], T]) -> T:
+        """Start one process; raise `OverBudget` if a limit of the run does not allow it."""
+        self.check_limits()
         with self._lock:
-            if self._over.is_set():
+            if self._ending.is_set():
                 raise OverBudget("the run is over")
-            if len(self._running) >= MOST_PROCESSES:
-                raise OverBudget(f"over {MOST_PROCESSES} processes")
-            started = make()
-            self._running[id(started)] = started
-            self.processes += 1
-        return started
-
-    def end(self, *started: Worker | FreshCall | RealGateway) -> None:
-        """End processes before the run ends."""
-        for process in started:
+            if len(self._running) >= MAX_PROCESSES:
+                raise OverBudget(f"over {MAX_PROCESSES} processes")
+            process = create()
+            self._running[id(process)] = process
+            self.processes_started += 1
+        return process
+
+    def stop(self, *processes: Worker | FreshCall | RealGateway) -> None:
+        """Stop processes before the run ends."""
+        for process in processes:
             process.stop()
             self._running.pop(id(process), None)
 
     @contextmanager
     def worker(self, make: Callable[[], Role]) -> Iterator[Worker]:
-        """A worker, ready, for as long as the block takes."""
-        worker = self.start(make)
+        """Provide a worker that is ready, and stop it at the end of the block."""
+        worker = self.start_worker(make)
         try:
             worker.ready()
             yield worker
         finally:
-            self.end(worker)
+            self.stop(worker)
 
-    def start(self, make: Callable[[], Role]) -> Worker:
+    def start_worker(self, make: Callable[[], Role]) -> Worker:
         """Start a worker; the caller waits for `ready`."""
-        return self._begin(lambda: Worker(make))
+        return self._start_process(lambda: Worker(make))
 
-    def fresh(self, function: Callable[..., Any], *arguments: Any) -> FreshCall:
+    def call_in_process(self, function: Callable[..., Any], *arguments: Any) -> FreshCall:
         """Call a function in a new process."""
-        return self._begin(lambda: FreshCall(function, *arguments))
+        return self._start_process(lambda: FreshCall(function, *arguments))
 
-    def result(self, call: FreshCall) -> Any:
-        """What a call in a new process returns; the process ends."""
+    def wait_for_result(self, call: FreshCall) -> Any:
+        """Return the result of a call in a new process, and stop the process."""
         try:
-            return call.result(max(1.0, self.left_s()))
+            return call.result(max(1.0, self.remaining_s()))
         finally:
-            self.end(call)
+            self.stop(call)
 
-    def real(self, gateway: RealGateway) -> RealGateway:
+    def start_gateway(self, gateway: RealGateway) -> RealGateway:
         """Start a real gateway."""
-        self._begin(lambda: gateway)
+        self._start_process(lambda: gateway)
         gateway.start()
         return gateway
 
-    def _sample(self) -> None:
-        """Watch the memory of this process and all that it has started."""
-        own = psutil.Process()
-        while not self._over.wait(SAMPLE_S):
-            held = 0
-            for process in [own, *own.children(recursive=True)]:
+    def _sample_memory(self) -> None:
+        """Sample the memory of this process and all of its descendants until the run ends."""
+        this_process = psutil.Process()
+        while not self._ending.wait(MEMORY_SAMPLE_INTERVAL_S):
+            resident_bytes = 0
+            for process in [this_process, *this_process.children(recursive=True)]:
                 with suppress(psutil.Error):
-                    held += process.memory_info().rss
-            self.peak_mb = max(self.peak_mb, held / MB)
-            if held / MB > self._limit_mb:
-                self.over_memory = True
+                    resident_bytes += process.memory_info().rss
+            self.peak_memory_mb = max(self.peak_memory_mb, resident_bytes / MB)
+            if resident_bytes / MB > self._memory_limit_mb:
+                self.exceeded_memory = True
--- a/rainturn/emulator/measurements.py
+++ b/rainturn/emulator/measurements.py
@@ -1,4 +1,4 @@
-"""What a scale run finds, as typed records that are written to JSON and read by the capacity page."""
+"""Typed records of the results of a scale run, written to JSON and read by the capacity page."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 @dataclass(frozen=True)
 class Quantity:
-    """What a slope describes: `unit` of its values against the `per` of its sizes."""
+    """The quantity of a slope: its values are in `unit`, and its sizes are numbers of `per`."""
 
     role: str
     name: str
@@ -18,10 +18,12 @@
 
 @dataclass(frozen=True)
 class Slope:
-    """A quantity measured at several sizes, the line through it, and one larger size as a check.
+    """A quantity measured at several sizes, the line fitted to it, and a larger held-out size as a check.
 
-    `residual` is the root mean square distance of the fitted values from the line, as a part of their mean.
-    `predicted` is None where the fitted sizes already bend: such a curve is not extrapolated as a line.
+    `residual` is the root mean square distance of the values from the line, as a fraction of their mean.
+    `predicted` is None if the values at the fitted sizes do not lie on a line: then nothing is extrapolated.
+    `bends` is true if those values, or the one at the held-out size, do not lie on the line; `reason` says
+    which.
     """
 
     role: str
@@ -42,10 +44,10 @@
 
 @dataclass(frozen=True)
 class Comparison:
-    """A hollow gateway's figure against a real one's at the same size, both for one instance.
+    """A figure of a hollow gateway beside that of a real one at the same size, both for one instance.
 
-    `correction` is added to the hollow figure for work that a hollow gateway leaves out; `ratio` is the
-    hollow figure, so corrected, over the real one, and `within` says whether it is within 15% of 1.
+    `correction` is added to the hollow figure for work that a hollow gateway does not do. `ratio` is the
+    corrected hollow figure divided by the real one, and `within` says whether it is within 15% of 1.
     """
 
     quantity: str
@@ -61,7 +63,7 @@
 
 @dataclass(frozen=True)
 class Fault:
-    """One figure of a fault that was played."""
+    """One figure that was measured during an injected fault."""
 
     name: str
     quantity: str
@@ -72,7 +74,7 @@
 
 @dataclass
 class ScaleResult:
-    """All that one scale run found."""
+    """All results of one scale run."""
 
     gateways: int
     hosts: int
@@ -93,5 +95,5 @@
     skipped: list[str] = field(default_factory=list)
 
     def as_json(self) -> dict[str, Any]:
-        """The run as plain maps and lists."""
+        """Return the result as plain dictionaries and lists."""
         return asdict(self)
--- a/rainturn/emulator/report.py
+++ b/rainturn/emulator/report.py
@@ -1,4 +1,4 @@
-"""A scale run's output: JSON, and plots of its slopes."""
+"""The output of a scale run: JSON, and plots of its slopes."""
 
 from __future__ import annotations
 
@@ -12,9 +12,9 @@
 
 
 def revision() -> str:
-    """The commit that is measured, marked where files differ from it; empty outside a work tree."""
+    """Return the measured commit, marked as dirty if files differ from it; empty outside a Git work tree."""
     try:
-        found = subprocess.run(
+        completed = subprocess.run(
             ["git", "describe", "--always", "--dirty", "--abbrev=12"],
             cwd=ROOT,
             capture_output=True,
@@ -24,13 +24,13 @@
         )
     except (OSError, subprocess.TimeoutExpired):
         return ""
-    return found.stdout.strip()
+    return completed.stdout.strip()
 
 
 def write_json(result: ScaleResult, path: Path) -> None:
-    """Write a run as JSON, each number to five digits."""
+    """Write a result as JSON, floating-point numbers rounded to five significant digits."""
     text = json.dumps(_rounded(result.as_json()), indent=1)
-    # Lists of numbers stand on one line each: the file stays short and its changes can be read.
+    # Each list of numbers is put on one line, which keeps the file short and its diffs readable.
     text = re.sub(r"\[\s+([-\d.,\s]+?)\s+\]", lambda m: "[" + re.sub(r"\s+", " ", m[1]) + "]", text)
     path.write_text(text + "\n")
 
@@ -45,8 +45,8 @@
     return value
 
 
-def plot(slopes: list[Slope], folder: Path) -> None:
-    """Draw each slope, with its line and its held-out size, into one file a role and quantity."""
+def plot_slopes(slopes: list[Slope], folder: Path) -> None:
+    """Plot each slope with its line and its held-out size, one PNG file for each role, quantity and `per`."""
     import matplotlib
 
     matplotlib.use("Agg")
--- a/rainturn/emulator/request_series.py
+++ b/rainturn/emulator/request_series.py
@@ -1,4 +1,4 @@
-"""A real gateway's request path against hosts: processor time a request, and the time that it adds."""
+"""Slopes of a real gateway's request path against hosts: processor time per request, and added time."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
     SetList,
 )
 from rainturn.emulator.gateway_roles import ClientRole
-from rainturn.emulator.lab import Lab
+from rainturn.emulator.lab import RunContext
 from rainturn.emulator.measurements import Quantity, Slope
 from rainturn.emulator.real_gateway import RealGateway
 from rainturn.emulator.service_roles import CounterRole, DiscoveryRole, HostRole
@@ -27,15 +27,15 @@
 ROLE, PER = "gateway request path", "hosts"
 LABEL = "real"
 HOST_PORTS = 8
-MOST_TENANTS = 2000
+MAX_TENANTS = 2000
 
 REQUEST_CPU = Quantity(ROLE, "request_cpu", "us", PER)
 ADDED_P50 = Quantity(ROLE, "added_p50", "ms", PER)
 ADDED_P99 = Quantity(ROLE, "added_p99", "ms", PER)
 CHANGING_P50 = Quantity(ROLE, "added_p50_with_changes", "ms", PER)
 CHANGING_P99 = Quantity(ROLE, "added_p99_with_changes", "ms", PER)
-CHANGING_MOST = Quantity(ROLE, "added_most_with_changes", "ms", PER)
-# The same clients straight to a host: what the stand-ins and the machine add without a gateway.
+CHANGING_MAX = Quantity(ROLE, "added_most_with_changes", "ms", PER)
+# The same clients directly at a host: the time that the stand-ins and the machine add without a gateway.
 DIRECT_P50 = Quantity(ROLE, "added_p50_without_gateway", "ms", PER)
 DIRECT_P99 = Quantity(ROLE, "added_p99_without_gateway", "ms", PER)
 MEMORY = Quantity(ROLE, "process_memory", "MB", PER)
@@ -47,101 +47,104 @@
     ADDED_P99,
     CHANGING_P50,
     CHANGING_P99,
-    CHANGING_MOST,
+    CHANGING_MAX,
     MEMORY,
 )
 
 
-class Bench:
-    """One real gateway at a time, before stand-ins that all sizes share."""
+class RequestTestBench:
+    """The stand-ins that all sizes share, for one real gateway at a time."""
 
-    def __init__(self, lab: Lab, requests_per_second: float) -> None:
-        self.lab, self.rate = lab, requests_per_second
-        seed = lab.options.seed
-        self.discovery, self.counter = lab.start(partial(DiscoveryRole, seed)), lab.start(CounterRole)
-        self.host = lab.start(partial(HostRole, HOST_PORTS, seed))
-        self.client = lab.start(partial(ClientRole, seed))
+    def __init__(self, context: RunContext, requests_per_second: float) -> None:
+        self.context, self.requests_per_second = context, requests_per_second
+        seed = context.options.seed
+        self.discovery, self.counter = (
+            context.start_worker(partial(DiscoveryRole, seed)),
+            context.start_worker(CounterRole),
+        )
+        self.host = context.start_worker(partial(HostRole, HOST_PORTS, seed))
+        self.client = context.start_worker(partial(ClientRole, seed))
         for worker in (self.discovery, self.counter, self.client):
             worker.ready()
         self.dials: tuple[str, ...] = self.host.ready()
-        self.at = (self.discovery.ask(Listen(LABEL)), self.counter.ask(Listen(LABEL)))
+        self.addresses = (self.discovery.ask(Listen(LABEL)), self.counter.ask(Listen(LABEL)))
 
     def load(self) -> LoadOn:
-        """The load of one gateway."""
-        options = self.lab.options
-        return LoadOn(self.rate, min(options.tenants, MOST_TENANTS), 1, options.seed)
+        """Return the command that starts the load of one gateway."""
+        options = self.context.options
+        return LoadOn(self.requests_per_second, min(options.tenants, MAX_TENANTS), 1, options.seed)
 
     def read(self) -> ClientReading:
-        """What clients saw since the last reading."""
+        """Return the figures of the clients since the last reading."""
         reading: ClientReading = self.client.ask(Read())
         return reading
 
-    def direct(self, seconds: float) -> ClientReading:
-        """The same load on a host without a gateway between."""
+    def measure_direct(self, seconds: float) -> ClientReading:
+        """Measure the same load directly at a host, without a gateway."""
         host, _, port = self.dials[0].rpartition(":")
         self.client.ask(AwaitReady({0: (host, int(port))}))
         self.client.ask(self.load())
-        time.sleep(self.lab.settle_s)
+        time.sleep(self.context.settle_s)
         self.read()
         time.sleep(seconds)
         reading = self.read()
         self.client.ask(LoadOff())
         return reading
 
-    def end(self) -> None:
-        """End the stand-ins."""
-        self.lab.end(self.client, self.host, self.counter, self.discovery)
+    def stop(self) -> None:
+        """Stop the stand-ins."""
+        self.context.stop(self.client, self.host, self.counter, self.discovery)
 
 
-def measure_requests(bench: Bench, hosts: int) -> Mapping[str, float]:
-    """One real gateway with so many hosts: quiet, with requests, and with requests and changes."""
-    lab, seconds = bench.lab, bench.lab.options.window_s
-    lab.check()
+def measure_requests(bench: RequestTestBench, hosts: int) -> Mapping[str, float]:
+    """Measure one real gateway with `hosts` hosts: idle, with requests, and with requests and changes."""
+    context, seconds = bench.context, bench.context.options.window_s
+    context.check_limits()
     bench.discovery.ask(SetList(hosts, bench.dials))
-    direct = bench.direct(seconds)
-    gateway = lab.real(RealGateway(0, 1, *bench.at, seed=lab.options.seed))
+    direct = bench.measure_direct(seconds)
+    gateway = context.start_gateway(RealGateway(0, 1, *bench.addresses, seed=context.options.seed))
     try:
         if not bench.client.ask(AwaitReady({0: gateway.address})):
             raise WorkerFailed("a real gateway was not ready: " + gateway.log()[-500:])
-        time.sleep(lab.settle_s)
-        idle = _cpu_per_s(gateway, seconds / 2)
+        time.sleep(context.settle_s)
+        idle_cpu = _measure_idle_cpu(gateway, seconds / 2)
         bench.client.ask(bench.load())
-        time.sleep(lab.settle_s)
-        before, began, used = bench.read(), time.monotonic(), gateway.spent().cpu_s
+        time.sleep(context.settle_s)
+        before, started_at, cpu_s = bench.read(), time.monotonic(), gateway.spent().cpu_s
         time.sleep(seconds)
-        quiet = bench.read()
-        used = gateway.spent().cpu_s - used - idle * (time.monotonic() - began)
-        every_s = 1.0 / lab.options.changes_per_second
-        bench.discovery.ask(ChangeOne(max(1, round(seconds / every_s)), every_s=every_s))
+        steady = bench.read()
+        cpu_s = gateway.spent().cpu_s - cpu_s - idle_cpu * (time.monotonic() - started_at)
+        interval_s = 1.0 / context.options.changes_per_second
+        bench.discovery.ask(ChangeOne(max(1, round(seconds / interval_s)), every_s=interval_s))
         changing = bench.read()
         bench.client.ask(LoadOff())
         held_mb = gateway.spent().held_mb
     finally:
-        lab.end(gateway)
+        context.stop(gateway)
     return {
-        REQUEST_CPU.name: 1e6 * used / max(1, quiet.requests - before.requests),
+        REQUEST_CPU.name: 1e6 * cpu_s / max(1, steady.requests - before.requests),
         DIRECT_P50.name: direct.added_p50_ms,
         DIRECT_P99.name: direct.added_p99_ms,
-        ADDED_P50.name: quiet.added_p50_ms,
-        ADDED_P99.name: quiet.added_p99_ms,
+        ADDED_P50.name: steady.added_p50_ms,
+        ADDED_P99.name: steady.added_p99_ms,
         CHANGING_P50.name: changing.added_p50_ms,
         CHANGING_P99.name: changing.added_p99_ms,
-        CHANGING_MOST.name: changing.added_most_ms,
+        CHANGING_MAX.name: changing.added_most_ms,
         MEMORY.name: held_mb,
     }
 
 
-def _cpu_per_s(gateway: RealGateway, seconds: float) -> float:
-    used, began = gateway.spent().cpu_s, time.monotonic()
+def _measure_idle_cpu(gateway: RealGateway, seconds: float) -> float:
+    cpu_s, started_at = gateway.spent().cpu_s, time.monotonic()
     time.sleep(seconds)
-    return (gateway.spent().cpu_s - used) / (time.monotonic() - began)
+    return (gateway.spent().cpu_s - cpu_s) / (time.monotonic() - started_at)
 
 
 def run_request_series(
-    lab: Lab, sizes: tuple[int, ...], held_out: int, requests_per_second: float
+    context: RunContext, sizes: tuple[int, ...], held_out_size: int, requests_per_second: float
 ) -> list[Slope]:
-    """The slopes of the request path."""
-    bench = Bench(lab, requests_per_second)
-    slopes = measure_slopes(QUANTITIES, sizes, held_out, partial(measure_requests, bench), lab.say)
-    bench.end()
+    """Measure the slopes of the request path, each with a held-out size."""
+    bench = RequestTestBench(context, requests_per_second)
+    slopes = measure_slopes(QUANTITIES, sizes, held_out_size, partial(measure_requests, bench), context.log)
+    bench.stop()
     return slopes
--- a/rainturn/emulator/slopes.py
+++ b/rainturn/emulator/slopes.py
@@ -1,4 +1,4 @@
-"""Lines through measured sizes, and the judgement whether a curve is one."""
+"""Lines fitted to measured sizes, and the check whether the measurements lie on such a line."""
 
 from __future__ import annotations
 
@@ -9,45 +9,53 @@
 
 from rainturn.emulator.measurements import Quantity, Slope
 
-LEAST_SIZES = 4
-LEAST_FACTOR = 2.0  # between neighbouring sizes
-BENT_RESIDUAL = 0.10  # root mean square distance from the line, as a part of the mean value
-BENT_PREDICTION = 0.20  # distance of the held-out size from the line, as a part of what was measured
+MIN_SIZES = 4
+MIN_SIZE_RATIO = 2.0  # between neighbouring sizes
+MAX_RESIDUAL = 0.10  # root mean square distance from the line, as a fraction of the mean value
+MAX_PREDICTION_ERROR = 0.20  # at the held-out size, as a fraction of the measured value
 
 
 @dataclass(frozen=True)
 class Line:
-    """`intercept + slope x size`, and how well it fits."""
+    """The line `intercept + slope * size`.
+
+    `residual` is the root mean square distance of the values from it, as a fraction of their mean.
+    """
 
     intercept: float
     slope: float
     residual: float
 
-    def at(self, size: float) -> float:
-        """The line's value at a size."""
+    def value_at(self, size: float) -> float:
+        """Return the value of the line at a size."""
         return self.intercept + self.slope * size
 
 
-def fit(sizes: Sequence[int], values: Sequence[float]) -> Line:
-    """The least squares line through values at four sizes or more, a factor of two apart at least."""
-    if len(sizes) < LEAST_SIZES or len(values) != len(sizes):
-        raise ValueError(f"a slope needs a value at each of {LEAST_SIZES} sizes or more")
-    if any(later < LEAST_FACTOR * earlier for earlier, later in zip(sizes, sizes[1:], strict=False)):
+def fit_line(sizes: Sequence[int], values: Sequence[float]) -> Line:
+    """Return the least squares line through values at sizes.
+
+    Raises ValueError for fewer than four sizes, or for neighbouring sizes less than a factor of two apart.
+    """
+    if len(sizes) < MIN_SIZES or len(values) != len(sizes):
+        raise ValueError(f"a slope needs a value at each of {MIN_SIZES} sizes or more")
+    if any(larger < MIN_SIZE_RATIO * smaller for smaller, larger in zip(sizes, sizes[1:], strict=False)):
         raise ValueError("neighbouring sizes have to be a factor of two apart")
     slope, intercept = linear_regression(sizes, values)
-    squares = [(value - intercept - slope * size) ** 2 for size, value in zip(sizes, values, strict=True)]
+    squared_distances = [
+        (value - intercept - slope * size) ** 2 for size, value in zip(sizes, values, strict=True)
+    ]
     mean = fmean(abs(value) for value in values)
-    return Line(intercept, slope, math.sqrt(fmean(squares)) / mean if mean else 0.0)
+    return Line(intercept, slope, math.sqrt(fmean(squared_distances)) / mean if mean else 0.0)
 
 
-def bend_of(line: Line) -> str:
-    """Why the fitted sizes do not lie on a line; empty if they do."""
-    if line.residual <= BENT_RESIDUAL:
+def bend_reason(line: Line) -> str:
+    """Return why the fitted sizes do not lie on a line, or an empty text if they do."""
+    if line.residual <= MAX_RESIDUAL:
         return ""
     return f"the fitted sizes lie {line.residual:.0%} of their mean off the line"
 
 
-def judge(
+def make_slope(
     quantity: Quantity,
     sizes: Sequence[int],
     values: Sequence[float],
@@ -55,12 +63,12 @@
     held_out_size: int,
     measured: float,
 ) -> Slope:
-    """Put a slope together, its held-out size measured."""
-    reason = bend_of(line)
-    predicted = None if reason else line.at(held_out_size)
-    if predicted is not None and abs(predicted - measured) > BENT_PREDICTION * abs(measured):
-        off = (measured - predicted) / abs(measured) if measured else math.inf
-        reason = f"the held-out size is {abs(off):.0%} {'above' if off > 0 else 'below'} the line"
+    """Return the slope for a line, checked against the value `measured` at the held-out size."""
+    reason = bend_reason(line)
+    predicted = None if reason else line.value_at(held_out_size)
+    if predicted is not None and abs(predicted - measured) > MAX_PREDICTION_ERROR * abs(measured):
+        deviation = (measured - predicted) / abs(measured) if measured else math.inf
+        reason = f"the held-out size is {abs(deviation):.0%} {'above' if deviation > 0 else 'below'} the line"
     return Slope(
         role=quantity.role,
         quantity=quantity.name,
@@ -84,27 +92,45 @@
     sizes: Sequence[int],
     held_out_size: int,
     measure: Callable[[int], Mapping[str, float]],
-    say: Callable[[str], None],
+    log: Callable[[str], None],
 ) -> list[Slope]:
-    """Measure several quantities, by name, at each size; predict the held-out size, then measure it."""
+    """Measure quantities at each size, then predict and measure them at the held-out size.
+
+    `measure` returns the values of all quantities at a size, by name. The predictions are logged before the
+    held-out size is measured.
+    """
     values: dict[str, list[float]] = {quantity.name: [] for quantity in quantities}
     for size in sizes:
-        found = measure(size)
+        measured = measure(size)
         for quantity in quantities:
-            values[quantity.name].append(found[quantity.name])
-        say(f"  {quantities[0].per} {size}: " + _listed(quantities, found))
-    lines = {quantity.name: fit(sizes, values[quantity.name]) for quantity in quantities}
+            values[quantity.name].append(measured[quantity.name])
+        log(f"  {quantities[0].per} {size}: " + _format_values(quantities, measured))
+    lines = {quantity.name: fit_line(sizes, values[quantity.name]) for quantity in quantities}
     for quantity in quantities:
         line = lines[quantity.name]
-        bend = bend_of(line)
-        told = (
-            f"bends, no line: {bend}" if bend else f"predicted {line.at(held_out_size):.4g} {quantity.unit}"
+        bend = bend_reason(line)
+        prediction = (
+            f"bends, no line: {bend}"
+            if bend
+            else f"predicted {line.value_at(held_out_size):.4g} {quantity.unit}"
         )
-        say(f"  {quantity.name} at {held_out_size} {quantity.per}: {told}")
-    found = measure(held_out_size)
-    say(f"  measured at {held_out_size}: " + _listed(quantities, found))
-    return [judge(q, sizes, values[q.name], lines[q.name], held_out_size, found[q.name]) for q in quantities]
+        log(f"  {quantity.name} at {held_out_size} {quantity.per}: {prediction}")
+    measured = measure(held_out_size)
+    log(f"  measured at {held_out_size}: " + _format_values(quantities, measured))
+    return [
+        make_slope(
+            quantity,
+            sizes,
+            values[quantity.name],
+            lines[quantity.name],
+            held_out_size,
+            measured[quantity.name],
+        )
+        for quantity in quantities
+    ]
 
 
-def _listed(quantities: Sequence[Quantity], found: Mapping[str, float]) -> str:
-    return ", ".join(f"{q.name} {found[q.name]:.4g} {q.unit}" for q in quantities)
+def _format_values(quantities: Sequence[Quantity], values: Mapping[str, float]) -> str:
+    return ", ".join(
+        f"{quantity.name} {values[quantity.name]:.4g} {quantity.unit}" for quantity in quantities
+    )
--- a/rainturn/emulator/virtual_series.py
+++ b/rainturn/emulator/virtual_series.py
@@ -1,4 +1,4 @@
-"""What a virtual clock measures: the counter's traffic, customers' memory, and a region without the counter.
+"""Measurements on a virtual clock: counter traffic, memory per customer, and a partition of the counter.
 
 Each function runs in a process of its own and returns plain records.
 """
@@ -21,83 +21,84 @@
 from rainturn.emulator.workload import Draw, Tenant
 
 MB = 1 << 20
-WARM_S = 10.0  # longer than a window of the counts
-HEADER_BYTES = 52  # of TCP and IP on a segment, with time stamps; arithmetic, not measured
-ARRIVE_WITHIN_S = 4.0
+WARMUP_S = 10.0  # longer than one window of the counts
+HEADER_BYTES = 52  # TCP and IP headers of a segment with time stamps; calculated, not measured
+ARRIVAL_PERIOD_S = 4.0
 SETTLE_S = 2.0
 
 
-def held_mb() -> float:
-    """Memory that is this process's own, in MB."""
+def own_memory_mb() -> float:
+    """Return the memory that belongs to this process alone (USS), in MB."""
     gc.collect()
     return float(psutil.Process().memory_full_info().uss) / MB
 
 
-def counter_traffic(plan: VirtualPlan, seconds: float) -> Mapping[str, float]:
-    """The counter's calls and payload bytes, by request and by gateway, once the load has gone on a while.
+def measure_counter_traffic(plan: VirtualPlan, seconds: float) -> Mapping[str, float]:
+    """Measure the counter's calls and payload bytes per request and per gateway, after a warm-up.
 
-    `customers_memory` is what a gateway has come to hold since before the load, in MB.
+    `customers_memory` is the memory that each gateway has gained since before the load began, in MB.
     """
 
-    async def main(loop: VirtualLoop) -> Mapping[str, float]:
+    async def measure(loop: VirtualLoop) -> Mapping[str, float]:
         fleet = VirtualFleet(loop, plan)
         await fleet.start()
-        held = held_mb()
+        memory_mb = own_memory_mb()
         fleet.load.start()
-        await asyncio.sleep(WARM_S)
+        await asyncio.sleep(WARMUP_S)
         before, requests = fleet.counted(), fleet.requests
         await asyncio.sleep(seconds)
-        counted, requests = fleet.counted().since(before), fleet.requests - requests
-        held = held_mb() - held
+        traffic, requests = fleet.counted().since(before), fleet.requests - requests
+        memory_mb = own_memory_mb() - memory_mb
         await fleet.stop()
-        payload = counted.bytes_in + counted.bytes_out
+        payload_bytes = traffic.bytes_in + traffic.bytes_out
         return {
-            "calls_per_request": counted.messages_in / max(1, requests),
-            "bytes_per_request": payload / max(1, requests),
-            "calls_per_gateway": counted.messages_in / seconds / plan.gateways,
-            "bytes_per_gateway": payload / seconds / plan.gateways,
-            "customers_memory": held / plan.gateways,
+            "calls_per_request": traffic.messages_in / max(1, requests),
+            "bytes_per_request": payload_bytes / max(1, requests),
+            "calls_per_gateway": traffic.messages_in / seconds / plan.gateways,
+            "bytes_per_gateway": payload_bytes / seconds / plan.gateways,
+            "customers_memory": memory_mb / plan.gateways,
         }
 
-    found: Mapping[str, float] = run_virtual(main)
-    return found
+    figures: Mapping[str, float] = run_virtual(measure)
+    return figures
 
 
-def customers_memory(plan: VirtualPlan) -> Mapping[str, float]:
-    """Memory of one gateway for `plan.tenants` customers that each come once, in MB and in bytes for one.
+def measure_customers_memory(plan: VirtualPlan) -> Mapping[str, float]:
+    """Measure one gateway's memory for `plan.tenants` customers with one request each.
 
-    Memory that the new process has freed before, some tenths of a MB, may hide a part of few customers'.
+    The figures are in MB for all customers and in bytes per customer. The new process may reuse some tenths
+    of a MB that it freed earlier, which hides part of the memory of a small number of customers.
     """
 
-    async def main(loop: VirtualLoop) -> Mapping[str, float]:
+    async def measure(loop: VirtualLoop) -> Mapping[str, float]:
         fleet = VirtualFleet(loop, replace(plan, tenants=1))
         await fleet.start()
-        gateway, held, began = fleet.gateways[0], held_mb(), loop.time()
+        gateway, memory_mb, started_at = fleet.gateways[0], own_memory_mb(), loop.time()
         for number in range(plan.tenants):
-            due = began + ARRIVE_WITHIN_S * number / plan.tenants
-            if due > loop.time():
-                await asyncio.sleep(due - loop.time())
+            arrives_at = started_at + ARRIVAL_PERIOD_S * number / plan.tenants
+            if arrives_at > loop.time():
+                await asyncio.sleep(arrives_at - loop.time())
             gateway.request(Draw(Tenant((1 << 30) + number, 3, 1, 0), 0, 0, 1.0))
         await asyncio.sleep(SETTLE_S)
-        held = held_mb() - held
+        memory_mb = own_memory_mb() - memory_mb
         await fleet.stop()
-        return {"customers_memory": held, "bytes_per_customer": held * MB / plan.tenants}
+        return {"customers_memory": memory_mb, "bytes_per_customer": memory_mb * MB / plan.tenants}
 
-    found: Mapping[str, float] = run_virtual(main)
-    return found
+    figures: Mapping[str, float] = run_virtual(measure)
+    return figures
 
 
 @dataclass(frozen=True)
-class Partition:
-    """How long the counter is watched before it is cut off from one region, while it is, and after, in s."""
+class PartitionDurations:
+    """Durations in s of the phases around a partition that cuts the counter off from one region."""
 
     before_s: float
-    during_s: float
-    healing_s: float
+    cut_off_s: float
+    just_after_s: float
     after_s: float
 
 
-def _faults(name: str, units: Units, note: str) -> list[Fault]:
+def _phase_figures(name: str, units: Units, note: str) -> list[Fault]:
     figures = (
         ("units_let_in", "units", units.let_in),
         ("units_beyond_quotas", "units", units.beyond),
@@ -107,21 +108,24 @@
     return [Fault(name, quantity, unit, value, note) for quantity, unit, value in figures]
 
 
-def partition(plan: VirtualPlan, lengths: Partition) -> list[Fault]:
-    """Cut the counter off from region 0 for a while: units let in beyond quotas, by phase and regions."""
+def measure_partition(plan: VirtualPlan, durations: PartitionDurations) -> list[Fault]:
+    """Cut the counter off from region 0 for a while, and measure the units admitted beyond quotas.
 
-    async def main(loop: VirtualLoop) -> dict[tuple[str, str], Units]:
+    Each phase has figures for the region that is cut off, and for the other regions together.
+    """
+
+    async def measure(loop: VirtualLoop) -> dict[tuple[str, str], Units]:
         fleet = VirtualFleet(loop, plan)
         ledger, address = fleet.ledger, fleet.counter_at[0]
         ledger.phase = "warm"
         await fleet.start()
         fleet.load.start()
-        await asyncio.sleep(WARM_S)
+        await asyncio.sleep(WARMUP_S)
         for phase, seconds in (
-            ("before", lengths.before_s),
-            ("cut off", lengths.during_s),
-            ("just after", lengths.healing_s),
-            ("after", lengths.after_s),
+            ("before", durations.before_s),
+            ("cut off", durations.cut_off_s),
+            ("just after", durations.just_after_s),
+            ("after", durations.after_s),
         ):
             ledger.phase = phase
             if phase == "cut off":
@@ -132,24 +136,26 @@
         await fleet.stop()
         return dict(ledger.tallies)
 
-    began = time.monotonic()
-    tallies: dict[tuple[str, str], Units] = run_virtual(main)
-    took_s = time.monotonic() - began
-    clock_s = WARM_S + lengths.before_s + lengths.during_s + lengths.healing_s + lengths.after_s
+    started_at = time.monotonic()
+    tallies: dict[tuple[str, str], Units] = run_virtual(measure)
+    elapsed_s = time.monotonic() - started_at
+    virtual_s = (
+        WARMUP_S + durations.before_s + durations.cut_off_s + durations.just_after_s + durations.after_s
+    )
     note = (
         f"{plan.gateways} gateways in {plan.regions} regions, {plan.requests_per_second:g} requests/s, "
-        f"cut off for {lengths.during_s:g} s; virtual clock, {clock_s:g} s in {took_s:.1f} s: "
-        f"compressed {clock_s / took_s:.1f} times"
+        f"cut off for {durations.cut_off_s:g} s; virtual clock, {virtual_s:g} s in {elapsed_s:.1f} s: "
+        f"compressed {virtual_s / elapsed_s:.1f} times"
     )
-    found: list[Fault] = []
+    faults: list[Fault] = []
     for phase in ("before", "cut off", "just after", "after"):
-        cut = tallies.get((phase, "region0"), Units())
+        cut_off = tallies.get((phase, "region0"), Units())
         others = _sum([units for (at, group), units in tallies.items() if at == phase and group != "region0"])
-        found += _faults(f"counter partitioned, {phase}, region cut off", cut, note)
-        found += _faults(f"counter partitioned, {phase}, other regions", others, note)
-    return found
+        faults += _phase_figures(f"counter partitioned, {phase}, region cut off", cut_off, note)
+        faults += _phase_figures(f"counter partitioned, {phase}, other regions", others, note)
+    return faults
 
 
-def _sum(parts: list[Units]) -> Units:
+def _sum(tallies: list[Units]) -> Units:
     names: Any = Units.__dataclass_fields__
-    return Units(*(sum(getattr(part, name) for part in parts) for name in names))
+    return Units(*(sum(getattr(tally, name) for tally in tallies) for name in names))
--- a/tests/test_emulator_virtual.py
+++ b/tests/test_emulator_virtual.py
@@ -13,7 +13,7 @@
 from rainturn.emulator.quota_ledger import QuotaLedger, Units
 from rainturn.emulator.real_gateway import ROOT
 from rainturn.emulator.virtual_fleet import VirtualPlan
-from rainturn.emulator.virtual_series import Partition, counter_traffic, partition
+from rainturn.emulator.virtual_series import PartitionDurations, measure_counter_traffic, measure_partition
 from rainturn.emulator.virtual_time import LATENCY_S, VirtualClock, VirtualLoop, run_virtual
 from rainturn.emulator.workload import PLANS
 
@@ -108,7 +108,7 @@
 
 
 def test_the_counters_traffic_is_the_same_for_the_same_seed() -> None:
-    first, again = (counter_traffic(PLAN, 4.0) for _ in range(2))
+    first, again = (measure_counter_traffic(PLAN, 4.0) for _ in range(2))
     counts = ("calls_per_request", "bytes_per_request", "calls_per_gateway")
     assert [first[name] for name in counts] == [again[name] for name in counts]
     assert 0.5 < first["calls_per_request"] < 5 and first["bytes_per_request"] > 30
@@ -117,8 +117,8 @@
 def test_customers_take_memory() -> None:
     """In a process of its own, as in a scale run: here the heap may have room for them already."""
     program = (
-        "from rainturn.emulator.virtual_series import VirtualPlan, customers_memory; "
-        "print(customers_memory(VirtualPlan(1, 1, 10, 4000, 1.0, 1))['bytes_per_customer'])"
+        "from rainturn.emulator.virtual_series import VirtualPlan, measure_customers_memory; "
+        "print(measure_customers_memory(VirtualPlan(1, 1, 10, 4000, 1.0, 1))['bytes_per_customer'])"
     )
     found = subprocess.run(
         [sys.executable, "-c", program], cwd=ROOT, capture_output=True, text=True, check=True
@@ -127,7 +127,7 @@
 
 
 def test_a_partition_is_told_by_phase_and_region() -> None:
-    faults = partition(PLAN, Partition(2.0, 4.0, 1.0, 2.0))
+    faults = measure_partition(PLAN, PartitionDurations(2.0, 4.0, 1.0, 2.0))
     names = {fault.name for fault in faults}
     assert len(names) == 8 and "counter partitioned, cut off, region cut off" in names
     let_in = {fault.name: fault.value for fault in faults if fault.quantity == "units_let_in"}
