--- a/rainturn/decisions/attempts.py
+++ b/rainturn/decisions/attempts.py
@@ -15,8 +15,8 @@
 RETRY_BUDGET_RATIO = 0.1  # repeats earned by each first attempt, so that repeats cannot feed an overload
 MAX_RETRY_BUDGET = 10.0
 MAX_HOLD_SHARE = 0.6  # part of the target time for which a request may wait for a host, a slot or a total
-NEVER_RAN = (Outcome.FULL, Outcome.UNREACHABLE, Outcome.MOOT)
-NEVER_SENT = (Outcome.UNREACHABLE, Outcome.MOOT)
+NEVER_RAN = (Outcome.FULL, Outcome.UNREACHABLE, Outcome.NOT_SENT)
+NEVER_SENT = (Outcome.UNREACHABLE, Outcome.NOT_SENT)
 
 
 class Attempts(Component):
@@ -63,10 +63,10 @@
         """
         customer = request.customer
         if customer is not None and customer.plan.ceiling_rate:
-            quota.advance(customer, now)
-            if customer.ceiling < request.units:
+            quota.refill_buckets(customer, now)
+            if customer.ceiling_level < request.units:
                 return False
-            customer.ceiling -= request.units
+            customer.ceiling_level -= request.units
         return True
 
     def _enqueue(self, now: float, request: PendingRequest) -> None:
@@ -98,7 +98,7 @@
         if request.id in self.open and not request.open_attempts():
             self._give_up(now, request)
 
-    def on_body_complete(self, now: float, event: it.BodyWhole) -> None:
+    def on_body_complete(self, now: float, event: it.BodyComplete) -> None:
         """Count attempts as load, and their hosts' silence, from now: hosts start work at the last byte."""
         request = self.open.get(event.request)
         if request is not None:
@@ -138,7 +138,7 @@
         self._finish_attempt(now, owner, attempt)
         if request is not None:
             attempt.may_have_run = attempt.may_have_run and event.outcome not in NEVER_RAN
-            request.is_bound = request.is_bound or event.spent
+            request.is_bound = request.is_bound or event.body_consumed
             self._continue(now, event, request)
         return owner.customer
 
@@ -155,8 +155,8 @@
         """Close the request after a final answer; otherwise repeat it unless another attempt is open."""
         cost = 0.0 if event.outcome in NEVER_SENT or request.is_moving else 1.0
         if event.final:
-            if event.final_units is not None and request.customer is not None:
-                self.calls.charge(now, request.customer, event.final_units - request.units)
+            if event.actual_units is not None and request.customer is not None:
+                self.calls.charge(now, request.customer, event.actual_units - request.units)
             self._close(now, request)
         elif request.open_attempts():
             return
