--- a/rainturn/emulator/__main__.py
+++ b/rainturn/emulator/__main__.py
@@ -43,8 +43,8 @@
     return parse
 
 
-def parser() -> argparse.ArgumentParser:
-    """Return the parser of the command line."""
+def make_parser() -> argparse.ArgumentParser:
+    """Return a parser for the command line."""
     top = OneLineParser(prog="python -m rainturn.emulator", description=__doc__)
     commands = top.add_subparsers(dest="command", required=True, parser_class=OneLineParser)
     scale = commands.add_parser("scale", help="hollow gateways beside real ones, on loopback")
@@ -81,7 +81,7 @@
 
 def main(argv: list[str] | None = None) -> int:
     """Run the command line and return the exit code: 0 if no part was skipped."""
-    arguments = parser().parse_args(argv)
+    arguments = make_parser().parse_args(argv)
     json_path: Path = arguments.json
     if not json_path.parent.is_dir():
         print(f"python -m rainturn.emulator: no such folder: {json_path.parent}", file=sys.stderr)
--- a/rainturn/emulator/comparison.py
+++ b/rainturn/emulator/comparison.py
@@ -90,7 +90,7 @@
         self.client = context.start_worker(partial(ClientRole, seed))
         for worker in (self.discovery, *self.counters.values(), self.client):
             worker.ready()
-        self.dials: tuple[str, ...] = self.host.ready()
+        self.host_addresses: tuple[str, ...] = self.host.ready()
         addresses = {
             kind: Addresses(self.discovery.ask(Listen(kind)), self.counters[kind].ask(Listen(kind)))
             for kind in (HOLLOW, REAL)
@@ -154,7 +154,7 @@
 
     def replace_host_list(self, hosts: int) -> None:
         """Replace the host list by one with `hosts` hosts, and wait until all gateways have it whole."""
-        self.discovery.ask(SetList(hosts, self.dials))
+        self.discovery.ask(SetList(hosts, self.host_addresses))
         self.discovery.ask(ChangeOne(0, watchers=2 * GATEWAYS_PER_KIND))
 
     def measure_idle(self, seconds: float) -> dict[str, Window]:
--- a/rainturn/emulator/request_series.py
+++ b/rainturn/emulator/request_series.py
@@ -66,7 +66,7 @@
         self.client = context.start_worker(partial(ClientRole, seed))
         for worker in (self.discovery, self.counter, self.client):
             worker.ready()
-        self.dials: tuple[str, ...] = self.host.ready()
+        self.host_addresses: tuple[str, ...] = self.host.ready()
         self.addresses = (self.discovery.ask(Listen(LABEL)), self.counter.ask(Listen(LABEL)))
 
     def load(self) -> LoadOn:
@@ -81,7 +81,7 @@
 
     def measure_direct(self, seconds: float) -> ClientReading:
         """Measure the same load directly at a host, without a gateway."""
-        host, _, port = self.dials[0].rpartition(":")
+        host, _, port = self.host_addresses[0].rpartition(":")
         self.client.ask(AwaitReady({0: (host, int(port))}))
         self.client.ask(self.load())
         time.sleep(self.context.settle_s)
@@ -100,7 +100,7 @@
     """Measure one real gateway with `hosts` hosts: idle, with requests, and with requests and changes."""
     context, seconds = bench.context, bench.context.options.window_s
     context.check_limits()
-    bench.discovery.ask(SetList(hosts, bench.dials))
+    bench.discovery.ask(SetList(hosts, bench.host_addresses))
     direct = bench.measure_direct(seconds)
     gateway = context.start_gateway(RealGateway(0, 1, *bench.addresses, seed=context.options.seed))
     try:
