--- a/tests/test_emulator_scale.py
+++ b/tests/test_emulator_scale.py
@@ -35,7 +35,7 @@
     return written
 
 
-def test_tiny_run_writes_all_result_fields(result: dict[str, object]) -> None:
+def test_tiny_run_skips_no_part_and_saves_after_each(result: dict[str, object]) -> None:
     assert (result["gateways"], result["hosts"], result["tenants"], result["seed"]) == (16, 64, 20, 1)
     assert result["skipped"] == []
     assert [len(saved.skipped) for saved in SAVED_RESULTS] == [5, 4, 3, 2, 1, 0]  # saved after each part
