--- a/rainturn/__init__.py
+++ b/rainturn/__init__.py
@@ -1,1 +1,1 @@
-"""rainturn: an API gateway that sheds by worth and shares its customers' quotas with its peers."""
+"""rainturn: an API gateway that refuses the least valuable work first and shares quotas with its peers."""
--- a/rainturn/averages.py
+++ b/rainturn/averages.py
@@ -7,7 +7,7 @@
 
 ANSWER_TIME_GAIN = 0.03  # weight of a new answer's time
 MAX_SAMPLE_SIZE = 20.0  # a pass share is the mean of at most this many decisions
-MAX_WAIT = 2.0  # an answer's wait counts as at most this many target times: a costly request proves nothing
+MAX_WAIT = 2.0  # an answer's wait counts as at most this many target times: one costly request proves nothing
 
 
 class AnswerTime:
--- a/rainturn/counts.py
+++ b/rainturn/counts.py
@@ -9,7 +9,7 @@
 WINDOW_BITS = 30  # the low bits of a name hold the window's number, the bits above the customer's key
 FIRST_SLOTS_NAME = 1 << 63  # names of the counts of open attempts begin here, above those of units
 SLOTS_TOTAL_LIMIT = 1 << 20  # totals of open attempts stay below this, where the counter's totals are exact
-WINDOW_BURSTS = 3.0  # window in burst / rate: a new window hides recent use, a long one hides idle time
+WINDOW_BURSTS = 3.0  # window as a multiple of burst / rate: new ones hide recent use, long ones idle time
 SHORTEST_WINDOW_MS, LONGEST_WINDOW_MS = 1000.0, 30_000.0
 WINDOW_PHASE_STEP = 0.618  # golden ratio: the windows of many customers must not all begin at the same time
 DIGIT_HEADROOM = 4  # a digit has room for this many times the largest cap
--- a/rainturn/decisions/admission.py
+++ b/rainturn/decisions/admission.py
@@ -1,19 +1,22 @@
-"""Admission by worth: tiers are filled from the top to a limit, and the boundary tier is admitted in part."""
+"""Admission by worth: tiers are filled from the top to a limit, and the boundary tier is admitted in part.
+
+The paper: K. Hareesh Kumar and Somanath Majhi, "Queuing Theory Based Open Loop Control of Web Server".
+"""
 
 import math
 
 from rainturn import interface as it
 from rainturn.averages import AnswerTallies
 
-PERIOD_MS = 500.0  # the paper's T: short against target times, so that cuts begin before answers are late
-MAX_UTILIZATION = 0.9  # the paper's 0.6 is of a CPU; this is of measured departures: the rest is for queues
+PERIOD_MS = 500.0  # the paper's T: short against target times, so that refusals begin before answers are late
+MAX_UTILIZATION = 0.9  # the paper's 0.6 is of a CPU; of measured departures, only queues need the rest
 OVERLOAD_BAD_SHARE = 0.15  # share of late or full answers in an overload: well above a few costly requests
 MIN_ANSWERS = 4  # fewer answers prove nothing; they add up over periods
 MAX_QUEUE_SHARE = 0.4  # share of the target time that requests may take to depart; more means overload
 FEW_ANSWERS = 10  # up to this many, a long mean wait means overload too: the share of late ones says little
-MIN_CAPACITY_KEPT = 0.5  # least share of capacity kept in an overload: a stall of departures is not capacity
+MIN_CAPACITY_KEPT = 0.5  # least share kept in an overload: a pause in departures is not low capacity
 CAPACITY_GROWTH_STEP = 0.03  # increase, per period, of the capacity's growth: an old estimate is trusted less
-TIER_RATIO = 1.05  # worths within this ratio share a tier: chance differences are no order of worth
+TIER_RATIO = 1.05  # worths within this ratio share a tier: small differences in worth are chance
 
 
 class Tiers:
@@ -70,38 +73,40 @@
         self.sent += pass_chance
         return True
 
-    def end_period(self, now: float, out: int, overdue: int = 0) -> None:
-        """End a period: look for an overload beyond one failing host, then set the next period's budget."""
+    def end_period(self, now: float, open_attempts: int, overdue: int = 0) -> None:
+        """End a period: detect an overload of more than one host, then set the next period's budget."""
         served, self.served = self.served, 0
         worst, (total, bad, wait) = self.answers.worst(), self.answers.sums()
-        # Requests that are out past half of their target time count as late.
+        # Requests that are unanswered after half of their target time count as late.
         total, wait = total + overdue, wait + overdue
         self.periods += 1
         self.mean_served += max(0.3, 1 / self.periods) * (served - self.mean_served)
         expected_queue = max(self.mean_served, served) * self.max_queue_periods
-        backlog = out - expected_queue - 2 * math.sqrt(expected_queue)  # a few requests gather by chance
+        backlog = (
+            open_attempts - expected_queue - 2 * math.sqrt(expected_queue)
+        )  # less what gathers by chance
         others = total - worst.total
         many_bad = bad - worst.bad >= OVERLOAD_BAD_SHARE * others
         long_wait = total <= FEW_ANSWERS and wait - worst.wait >= MAX_QUEUE_SHARE * others
         late = total >= MIN_ANSWERS and others > 0 and (many_bad or long_wait)
-        if late or (backlog > 0 and out >= 2 * MIN_ANSWERS and self.periods > 1):
+        if late or (backlog > 0 and open_attempts >= 2 * MIN_ANSWERS and self.periods > 1):
             self.capacity = max(0.01, self.mean_served, MIN_CAPACITY_KEPT * (self.capacity or self.sent))
             self.overload_at, self.growth = now, 0.0
         elif self.capacity:
             # Capacity rises by the share of requests that were answered since, and faster with quick answers.
-            evidence = (total - overdue) / (total - overdue + out) if out else 1.0
+            evidence = (total - overdue) / (total - overdue + open_attempts) if open_attempts else 1.0
             evidence *= max(0.0, 3 - 3 * wait / (MAX_QUEUE_SHARE * total)) if total else 1.0
             self.growth += CAPACITY_GROWTH_STEP
             self.capacity *= 1 + evidence * self.growth
         if total >= MIN_ANSWERS or now == self.overload_at:
             self.answers.clear()
-        self._set_boundary(max(0.0, out - self.capacity * self.max_queue_periods))
+        self._set_boundary(max(0.0, open_attempts - self.capacity * self.max_queue_periods))
         self.sent, self.arrived = 0.0, [0.0] * len(self.arrived)
 
     def _set_boundary(self, backlog: float) -> None:
         """Fill tiers from the top: rho_new = lambda_new x rho_prev / lambda_prev, the paper's equation 5.
 
-        A backlog of requests that wait too long at the hosts is filled in first: it departs before new ones.
+        The backlog of requests that wait too long at hosts takes capacity first: it departs before new ones.
         """
         trust = min(1.0, sum(self.arrived) / (2 * MIN_ANSWERS))  # few arrivals say little of each tier's rate
         for tier, arrivals in enumerate(self.arrived):
--- a/rainturn/decisions/attempts.py
+++ b/rainturn/decisions/attempts.py
@@ -10,7 +10,7 @@
 from rainturn.records import Attempt, Customer, PendingRequest
 from rainturn.timers import HoldTimers
 
-RECHECK_MS = 20.0  # interval of checks on queued requests and margin before deadlines: short against targets
+RECHECK_MS = 20.0  # interval of checks on queued requests, margin before deadlines: short against targets
 MAX_WRITE_DELAY_MS = 150.0  # how late after reading its clock a gateway may write, by the protocol
 RETRY_BUDGET_RATIO = 0.1  # repeats earned by each first attempt, so that repeats cannot feed an overload
 MAX_RETRY_BUDGET = 10.0
@@ -26,7 +26,7 @@
         super().__init__(shared)
         self.hosts, self.calls, self.limits = hosts, calls, self.settings.limits
         self.open: dict[int, PendingRequest] = {}
-        self.queued: dict[int, PendingRequest] = {}  # open ones that wait for a host or for ceiling units
+        self.queued: dict[int, PendingRequest] = {}  # open ones held for a host or for ceiling units
         self.ended: dict[int, PendingRequest] = {}  # answered, but with attempts still open
         self.retry_budget = MAX_RETRY_BUDGET
         self.hold_timers = HoldTimers(self.timers, self._expire)
@@ -49,7 +49,7 @@
         if request.customer is not None:
             request.customer.open_attempts += 1
         first_run, within = request.first_run(), math.inf
-        if first_run is not None and request_class.effect is it.Effect.KEYED:  # includes connect time
+        if first_run is not None and request_class.effect is it.Effect.KEYED:  # also covers connecting
             within = self._repeat_until(request_class, first_run) - now
         request.attempts.append(Attempt(host, now, request.is_complete))
         request.is_moving = False
@@ -57,9 +57,9 @@
         self.timers.after(now, self.hosts.max_silence_ms(request, host), self._check_silence, request, number)
 
     def _take_ceiling_units(self, now: float, request: PendingRequest) -> bool:
-        """Take the units of a first attempt from the ceiling's store; return whether it had enough (rule 5).
+        """Take the units of a first attempt from the ceiling bucket; return whether it held enough (rule 5).
 
-        Taking them earlier would let held requests gather and exceed the ceiling in one burst.
+        Taking them earlier would let held requests gather and then exceed the ceiling in one burst.
         """
         customer = request.customer
         if customer is not None and customer.plan.ceiling_rate:
@@ -99,7 +99,7 @@
             self._give_up(now, request)
 
     def on_body_complete(self, now: float, event: it.BodyComplete) -> None:
-        """Count attempts as load, and their hosts' silence, from now: hosts start work at the last byte."""
+        """Start counting attempts as load, and their hosts' silence: hosts start work at the last byte."""
         request = self.open.get(event.request)
         if request is not None:
             request.is_complete, request.deadline, request.arrived_at = True, event.deadline, now
--- a/rainturn/decisions/gateway.py
+++ b/rainturn/decisions/gateway.py
@@ -1,4 +1,12 @@
-"""The decision module's entry point: passes each event to the component that decides on it."""
+"""The decision module's entry point: passes each event to the component that decides on it.
+
+Comments refer to the rules of the simulator's protocol by their numbers:
+1. Every request gets its final answer in time.
+2. No request takes effect twice.
+3. Nothing is sent to a draining or gone host after the grace period.
+4. A cold host gets no more than its budget.
+5. The ceiling is never exceeded.
+"""
 
 import math
 from collections.abc import Callable
@@ -15,8 +23,8 @@
 from rainturn.decisions.slots import Slots
 from rainturn.records import PendingRequest
 
-STALL_MS = 200.0  # a timer this late shows that the gateway itself stalled: the times it measured are its own
-IDLE_CHECK_PROBABILITY = 1 / 6  # that a period looks for idle customers
+STALL_MS = 200.0  # a timer this late shows that the gateway itself stalled: what it measured is its own delay
+IDLE_CHECK_PROBABILITY = 1 / 6  # chance of a check for idle customers in a period
 
 
 class Gateway(Component):
@@ -34,7 +42,7 @@
         self.index = self.host_selector.index
         self.open, self.hosts, self.customers = self.attempts.open, self.index.hosts, self.meter.customers
         self.has_started, self.in_service = False, True
-        self.ready_after = -math.inf  # set after a handover: until then it waits for a fresh host list
+        self.ready_after = -math.inf  # after a handover: not ready before, or before a fresh host list
         self._handlers: dict[type[it.Event], Callable[[float, Any], Any]] = {
             it.Arrived: self._on_arrived,
             it.BodyComplete: self.attempts.on_body_complete,
@@ -95,12 +103,12 @@
         self.open[request.id] = request
         if request.deadline <= now + 2 * RECHECK_MS:  # if held, it would end unanswered
             return self.attempts.refuse(now, request)
-        customer, price, weight = None, 1.0, 1.0
+        customer, price, pass_chance = None, 1.0, 1.0
         if 0 <= event.plan < len(self.settings.plans):
             customer = request.customer = self.meter.get_customer(now, event)
-            price, weight = customer.plan.price, self.meter.pass_chance(customer, event.plan)
+            price, pass_chance = customer.plan.price, self.meter.pass_chance(customer, event.plan)
         tier = self.tiers.tier_of(request_class.worth * price)
-        if not self.tiers.admit(tier, weight):
+        if not self.tiers.admit(tier, pass_chance):
             # The boundary tier has a new budget next period; when lower tiers are admitted is not known.
             left_ms = max(0.0, self.attempts.hold_timers.period_ends - now)
             self.attempts.refuse(now, request, left_ms if tier == self.tiers.boundary else 0.0)
@@ -143,7 +151,7 @@
                 self.calls.call(now, customer)  # otherwise the counter never receives these units
 
     def _on_period(self, now: float) -> None:
-        """Run the paper's admission step, and update what changes with age."""
+        """End an admission period, and update what changes with age."""
         self.timers.after(now, PERIOD_MS, self._on_period)
         self.attempts.hold_timers.begin_period(now, now + PERIOD_MS, self.open.values())
         self.index.begin_period(now)
--- a/rainturn/decisions/hosts.py
+++ b/rainturn/decisions/hosts.py
@@ -9,15 +9,15 @@
 from rainturn.interface import Outcome
 from rainturn.records import Attempt, Host, PendingRequest
 
-COLD_BUDGET_SHARE = 1 / 3  # part of the cold budget used: costs and traffic vary, and a window is soon spent
+COLD_BUDGET_SHARE = 1 / 3  # part used of a cold host's budget: costs and traffic vary, and it is soon spent
 SUSPECT_FAILURES = 2  # failures in a row, without an answer between them, that make a host suspect
-RESET_THRESHOLD = 6  # resets in a row that count as a failure: a path may cut healthy connections by chance
-TRIAL_INTERVAL_MS = 500.0  # how often all gateways together try a suspect host; a trial delays a request
+RESET_THRESHOLD = 6  # resets in a row that count as a failure: a path may break healthy connections by chance
+TRIAL_INTERVAL_MS = 500.0  # of all gateways' trials of a suspect host together; each may delay a request
 MAX_TRIAL_GATEWAYS = 40  # with more, each one's trials would be too rare to notice that a host has recovered
 COLD_AFTER_SPANS = 4.0  # multiple of `fall_ms` spent failing after which a host may have restarted
 CANDIDATES = 12  # hosts considered for a request, nearest first, and as many others if all have work
 SLOWNESS_STEP = 1.4  # hosts whose slowness differs by less are ranked alike: single answers vary by more
-SLOWEST = 10.0  # limit, and what an error counts as: it costs a request, and quick errors would draw traffic
+SLOWEST = 10.0  # limit; an error counts as this: it costs a request, and quick errors would draw traffic
 FULL_SLOWNESS = 4.0  # slowness that an answer of a full host counts as
 LATENCY_GAIN = 0.1  # weight of a new answer's time
 
@@ -31,7 +31,7 @@
         self.rules = self.settings.rules
         self.index = HostIndex(self.settings, self.warmth, self._cold_share)
         self.trial_ms = TRIAL_INTERVAL_MS * min(self.settings.gateways, MAX_TRIAL_GATEWAYS)
-        self.evidence_since = -math.inf  # what became of anything sent before this is ignored
+        self.evidence_since = -math.inf  # outcomes of what was sent before this are ignored
 
     def open_attempts(self) -> int:
         """Return the number of attempts that are load at hosts that are not suspect."""
@@ -163,7 +163,7 @@
     def _record_reset(self, now: float, host: Host) -> None:
         """Record a broken connection, which shows little: a host that has died refuses the next connect.
 
-        If each one counted as a failure, a network path that cuts connections would make most hosts suspect
+        If each one counted as a failure, a network path that breaks connections would make most hosts suspect
         and overload the rest. The cost is that a host that breaks every connection is left alone only after
         `RESET_THRESHOLD` requests.
         """
--- a/rainturn/decisions/metering.py
+++ b/rainturn/decisions/metering.py
@@ -1,4 +1,4 @@
-"""Decides which requests the quotas admit: by totals of the shared counts or, without one, by the bucket."""
+"""Decides which requests the quotas admit: by totals of shared counts or, without a total, by the bucket."""
 
 import math
 
@@ -13,7 +13,7 @@
 from rainturn.records import CounterCall, Customer, PendingRequest
 
 RECOVERY_MS = 500.0  # gateways restore lost counts over this time, so that the counter is not flooded
-RECOVERY_UNITS = 6.0  # a count is restored only if it grew by at most this (about 3 requests) since read
+RECOVERY_UNITS = 6.0  # only counts that grew by at most this (about 3 requests) since read are restored
 
 
 class QuotaMeter(Component):
@@ -66,10 +66,10 @@
         return max(0.1, share) if customer.plan.rate else 1.0
 
     def check_quota(self, now: float, request: PendingRequest, customer: Customer) -> None:
-        """Decide on a request by a total of the count or, while calls are thinned, often by the bucket.
+        """Decide on a request by a total of the count or, while calls are reduced, often by the bucket.
 
-        Thinned calls are made where they are worth most. Units that the bucket lets in are reported with the
-        customer's next call, so that the count stays exact however few calls are made.
+        The remaining calls are made where they are worth most. Units that the bucket lets in are
+        reported with the customer's next call, so that the count stays exact however few calls are made.
         """
         if self.calls.enabled and quota.must_refuse(customer, now, request.units):
             self._record_decision(request, customer, False)
@@ -83,16 +83,15 @@
             if admitted and self.calls.enabled:
                 customer.unreported += request.units
                 self.calls.schedule_report(now, customer)
-            # A customer often decided without a total may use this gateway's part of the rate, no more.
+            # A customer often decided on without a total may use this gateway's part of the rate, no more.
             customer.pass_share *= 0.9
             self._carry_out(now, request, customer, admitted)
 
     def _should_wait(self, now: float, request: PendingRequest, customer: Customer) -> bool:
         """Return whether a request waits for a total.
 
-        While calls are thinned, a pending call draws no further requests: they would wait in turn and form a
-        chain of calls. Units that the bucket lets in must be reported by a call anyway, so asking first costs
-        no more.
+        While calls are reduced, requests do not wait because a call is pending: each call would cause the
+        next. Units that the bucket lets in must be reported by a call anyway, so calling first costs no more.
         """
         value = quota.call_value(customer, now, request.units)
         self.mean_call_value += 0.01 * (value - self.mean_call_value)
@@ -126,7 +125,7 @@
             self.empty_counts = self.empty_counts + 1 if empty and age > customer.window_ms / 8 else 0
             if self.empty_counts >= 2:  # counts that stay empty for long are rare
                 self._recover_counts(now)
-        # If this count and the last window's have just been lost, calls are left to gateways that know them.
+        # If this count and the last window's have just been lost, gateways that know them make the calls.
         loss_known, debt = age > now - self.loss_found_at and now - self.loss_found_at < 4 * RECOVERY_MS, 0.0
         if customer.new_window_total is not None:  # the last window's total has come or is unavailable
             debt = quota.carried_debt(customer, now, call.window, total) if ok else 0.0
--- a/rainturn/decisions/quota.py
+++ b/rainturn/decisions/quota.py
@@ -17,7 +17,7 @@
 OTHERS_RATE_TIME_CONSTANT_MS = 3000.0  # averaging time of the rate at which other gateways take units
 CALL_VALUE_BASE_SHARE = 0.25  # share of the burst that unexchanged units are weighed against at level 0
 FRESH_TOTAL_MS = 1000.0  # up to this age a total can show that a bucket is short, if nobody took units since
-TARGET_COUNTER_LOAD = 0.3  # counter's answer time as a share of the time-out; calls are thinned above it
+TARGET_COUNTER_LOAD = 0.3  # counter's answer time as a share of the time-out; fewer calls are made above it
 FAILED_CALL_LOAD = 2.0  # a failed call counts as this many time-outs
 LOAD_DECAY_MS = 5000.0  # time constant with which the load decays, so that calls resume after an outage
 REPORT_DELAY_MS = 500.0  # units let in without a call are reported to the counter after this time
@@ -91,8 +91,8 @@
 def _limit_level(customer: Customer, level: float, growth: float, elapsed: float) -> float:
     """Limit a level to the range 0 to burst: requests beyond the quota take nothing from the bucket.
 
-    Guards against one gateway's overrun causing refusals at the others as well. The part cut off here is
-    remembered for as long as it would take to refill: units given back from it are no gain.
+    Guards against one gateway's overrun causing refusals at the others as well. The excess is remembered
+    for as long as it would take to refill: units given back from it are no gain.
     """
     given_back = min(customer.overrun, max(0.0, -growth))
     level -= given_back
--- a/rainturn/decisions/slots.py
+++ b/rainturn/decisions/slots.py
@@ -34,7 +34,7 @@
         self.serve(now, customer)
 
     def serve(self, now: float, customer: Customer) -> None:
-        """Send queued requests that have a slot, then update the count of the customer's open attempts.
+        """Send requests from the slot queue while slots are free, then update the count of open attempts.
 
         A cap holds over all gateways: an even split would refuse traffic that comes through one of them, and
         would be exceeded by traffic that comes through all.
@@ -73,8 +73,8 @@
         """Take the slots that other gateways leave; slots claimed beyond these are given back at once.
 
         Each gateway sees its own part of the count: a call whose answer was lost may have been added or not,
-        with equal chance. Where all gateways share one digit, each goes by its own sum and takes a lost call
-        for added: until the window ends, that leaves one slot too few or too many.
+        with equal chance. Where all gateways share one digit, each goes by its own sum and counts a lost
+        call as added: until the window ends, that leaves one slot too few or too many.
         """
         call, customer.pending_slot_call = customer.pending_slot_call, None
         if call is None:
--- a/rainturn/host_index.py
+++ b/rainturn/host_index.py
@@ -19,7 +19,7 @@
 from rainturn.host_ages import HostAges
 from rainturn.records import Host, WarmupState
 
-RING_STRIDE = 0.618  # the golden section: with steps of this part of the ring, neighbours lie far apart
+RING_STRIDE = 0.618  # golden ratio: with steps of this part of the ring, neighbours lie far apart
 FLEET_DECAY = 0.99  # per period, of the number of hosts that recently carried the traffic
 BULK_DIVISOR = 16  # changes of more than one host in this many are cheaper as one sort than one by one
 
@@ -171,7 +171,7 @@
             self.warm_ring.add(host)
 
     def _apply_changes(self, now: float) -> None:
-        """Update orders, counts and intervals after changes of hosts."""
+        """Update orders, sizes and intervals after changes of hosts."""
         self.ring.apply_changes()
         self.warm_ring.apply_changes()
         ready_count = len(self.warm) + len(self.cold) + len(self.new_cold)
@@ -208,7 +208,7 @@
         self._apply_changes(now)
 
     def begin_period(self, now: float) -> None:
-        """Update cold hosts for their age, and let the count of hosts that carry the traffic decay."""
+        """Update cold hosts for their age, and let the number of hosts that carry the traffic decay."""
         if self.cold.intervals:
             self._warm_up(now)
         self.fleet_size = max(1.0, FLEET_DECAY * self.fleet_size, len(self.warm) + len(self.cold))
--- a/rainturn/interface.py
+++ b/rainturn/interface.py
@@ -14,7 +14,7 @@
 
 
 class Effect(enum.Enum):
-    """What running a request a second time does."""
+    """The effect of running a request a second time."""
 
     SAFE = "safe"  # nothing further
     KEYED = "keyed"  # nothing further while hosts still recognize its key and drop the repeat
@@ -51,11 +51,11 @@
 
     OK = "ok"
     ERROR = "error"  # answered with an error
-    FULL = "full"  # turned away because of overload; it did not run
+    FULL = "full"  # refused because of overload; it did not run
     TIMEOUT = "timeout"  # sent and not answered in time
     UNREACHABLE = "unreachable"  # no connection, or it broke before all was sent; it did not run
     RESET = "reset"  # the connection broke after all was sent
-    CANCELLED = "cancelled"  # called off by the gateway
+    CANCELLED = "cancelled"  # by a `Cancel` action
     NOT_SENT = "moot"  # given up before all was sent, for a reason that is not the host's
 
 
@@ -89,12 +89,12 @@
     """A class of requests. The decisions don't use `stream` and `aim_stretch`."""
 
     effect: Effect
-    aim_ms: float  # target time from arrival to answer; an answer after it is late
+    aim_ms: float  # target time from arrival to answer; an answer after it, before the deadline, is late
     deadline_ms: float  # longest time for all tries of the client together
     worth: float  # value of an answer in time; the plan's `price` multiplies it
-    late_worth: float = 0.0  # value of a late answer; 0: none, so a late request is not repeated
+    late_worth: float = 0.0  # fraction of the worth that a late answer earns; 0: late ones are not repeated
     group: Group = Group.ALL
-    window_ms: float = 0.0  # how long after the first attempt hosts drop repeats of a keyed request
+    window_ms: float = 0.0  # how long hosts drop repeats, from the first attempt that may have run
     stream: bool = False  # whether answers are streams
     aim_stretch: float = 0.0
 
@@ -108,13 +108,13 @@
 
     price: float  # factor on the worth of a request
     rate: float  # quota, units/s; 0: none
-    burst: float  # units of the quota that an idle customer can save up
+    burst: float  # size of the quota's token bucket, units
     parallel: int = 0  # most open attempts; 0: no limit
     ceiling_rate: float = 0.0  # ceiling, units/s; 0: none
-    ceiling_burst: float = 0.0  # units of the ceiling that an idle customer can save up
+    ceiling_burst: float = 0.0  # size of the ceiling's token bucket, units
     ceiling_slack: float = 0.0  # units by which the ceiling may be exceeded
-    over_worth: float = 0.0
-    over_cost: float = 0.0  # cost of admitting a request beyond the quota, relative to the gain of one within
+    over_worth: float = 0.0  # fraction of its worth that a request earns if sent on beyond the quota
+    over_cost: float = 0.0  # fraction of its worth that a request then costs, whether served or not
 
 
 @dataclass(frozen=True)
@@ -129,9 +129,9 @@
     drain_grace_ms: float  # time within which a gateway must stop sending to a host that drains
     fall_multiple: float
     fall_ms: float
-    cold_share: float  # share of its capacity that a host has when it starts, 0 to 1
+    cold_share: float  # least fraction of its capacity with which a host starts
     warm_ms: float  # time from a host's start until it has its full capacity
-    ask_within_ms: float = 10_000.0
+    ask_within_ms: float = 10_000.0  # counts only where the host list has to be asked for
 
 
 @dataclass(frozen=True)
@@ -247,7 +247,7 @@
 
 
 class RequestGone(NamedTuple):
-    """The client has left, or the request has ended otherwise."""
+    """The client has left, or the request has ended for another reason."""
 
     request: int
 
--- a/rainturn/records.py
+++ b/rainturn/records.py
@@ -1,4 +1,4 @@
-"""State of the decision module: hosts, requests and their attempts, customers, and open counter calls.
+"""State of the decision module: hosts, requests and their attempts, customers, and pending counter calls.
 
 This module makes no decisions. Times are milliseconds on the clock whose time `Gateway.handle` receives.
 """
@@ -155,12 +155,12 @@
         self.units = event.units
         self.customer: Customer | None = None
         self.attempts: list[Attempt] = []  # by attempt number
-        self.is_bound = False  # to its current attempt: no other may follow
-        self.is_moving = False  # its attempt was given up, and another one replaces it
-        self.is_refundable = False  # its units were taken, but no attempt has completely reached a host
-        self.is_complete = event.is_complete  # its last byte has arrived
+        self.is_bound = False  # whether it is bound to its current attempt: no other may follow
+        self.is_moving = False  # whether its attempt was given up and another one replaces it
+        self.is_refundable = False  # whether its units were taken and no attempt has fully reached a host
+        self.is_complete = event.is_complete  # whether its last byte has arrived
         self.is_streamed = not event.is_complete  # forwarded as it arrives: cannot be moved to another host
-        self.held_until = math.inf  # when to give it up if not sent; inf: not held, or a timer is set
+        self.held_until = math.inf  # when to give it up if it is not sent; inf: not held, or a timer is set
         self.cold_draw = cold_draw  # drawn once, so that a held request gets no further chance of a cold host
 
     def first_run(self) -> Attempt | None:
@@ -188,7 +188,7 @@
 
 
 class CounterCall(NamedTuple):
-    """An open call to a customer's count, and the parts of its amount, all in units."""
+    """A pending call to a customer's count, and the parts of its amount, all in units."""
 
     window: int
     amount: float  # sum of the next three
@@ -200,7 +200,7 @@
 
 
 class SlotCall(NamedTuple):
-    """An open call to the count of a customer's open attempts."""
+    """A pending call to the count of a customer's open attempts."""
 
     window: int
     amount: int  # slots claimed, or given back if negative
@@ -208,7 +208,7 @@
 
 
 class Customer:
-    """One customer: its store of units, the last total of its shared count, and its slots for attempts."""
+    """One customer: its token buckets, the last total of its shared count, and its slots for attempts."""
 
     __slots__ = (
         "key",
@@ -272,8 +272,8 @@
 
         self.window_ms = counts.window_ms(plan)
         self.window_phase = counts.window_phase(key, self.window_ms)
-        # Many customers come only once. After this time the window is over and the store full again, so no
-        # knowledge is lost.
+        # Many customers come only once. After this time the window is over and the bucket full again, so
+        # no knowledge is lost.
         self.idle_timeout_ms = self.window_ms + 1000.0 * plan.burst / plan.rate if plan.rate else IDLE_MS
         self.total_window = -1  # window of the last total; -1: no total yet
         self.total = 0.0
@@ -290,7 +290,7 @@
 
         self.open_attempts = 0
         self.slot_queue: list[PendingRequest] = []  # requests waiting for a slot
-        self.fallback_slots = 1  # safe to use without the count
+        self.fallback_slots = 1  # slots that may be used without the count
         self.granted_slots = 0
         self.slots_counted = 0  # this gateway's part of the count in `slots_window`
         self.slots_window = -1
