--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -19,6 +19,7 @@
 
 
 def settings(**changes: Any) -> it.Settings:
+    """Return the settings of gateway 0 of two, with the given fields changed."""
     base: dict[str, Any] = {
         "gateway": 0,
         "gateways": 2,
@@ -34,13 +35,18 @@
 
 
 def hosts(count: int, started: float = 0.0, state: it.HostState = it.HostState.READY) -> it.HostList:
+    """Return a cached list of hosts 1 to `count`, which lie in two zones in turn."""
     return it.HostList(
         it.ListKind.CACHED, tuple(it.HostEntry(n + 1, n % 2, 0, state, 1.0, started) for n in range(count))
     )
 
 
 class Drive:
-    """A gateway with a clock that tests set, and a record of all its actions."""
+    """Drives a gateway with a clock that tests set.
+
+    `gate` is the gateway, `now` the time in ms, `done` the list of all its actions so far, and `serial` the
+    number of the last request.
+    """
 
     def __init__(self, config: it.Settings, fleet: int = 4, now: float = 100_000.0) -> None:
         self.gate, self.now = Gateway(config, 7), now
@@ -49,6 +55,7 @@
         self.feed(hosts(fleet))
 
     def feed(self, event: it.Event) -> list[it.Action]:
+        """Let the gateway handle an event; return and record the actions."""
         actions = self.gate.handle(self.now, event)
         self.done += actions
         return actions
@@ -61,6 +68,7 @@
         spread: float = 2.0,
         time_limit_ms: float = 5000.0,
     ) -> tuple[int, list[it.Action]]:
+        """Let a request of class `kind` arrive; return its number and the actions."""
         self.serial += 1
         event = it.Arrived(self.serial, self.now + time_limit_ms, customer, plan, kind, 1.0, spread)
         return self.serial, self.feed(event)
@@ -68,15 +76,17 @@
     def end(
         self, send: it.Send, outcome: it.Outcome, attempt: int = 0, elapsed: float = 100.0
     ) -> list[it.Action]:
+        """End an attempt, by default the first of its request, and the request with it if `outcome` is OK."""
         return self.feed(
             it.AttemptEnded(send.request, attempt, send.host, outcome, elapsed, outcome is it.Outcome.OK)
         )
 
     def count(self, call: it.Count, total: float, outcome: it.Outcome = it.Outcome.OK) -> list[it.Action]:
+        """Answer a counter call with the total of its count."""
         return self.feed(it.CountAnswered(call.name, outcome, total, 2.0))
 
     def run_for(self, span: float) -> list[it.Action]:
-        """Advance the clock by `span` ms, with a timer event every 20 ms; return the actions."""
+        """Advance the clock by `span` ms, with a timer event every 20 ms; return all actions of that time."""
         got: list[it.Action] = []
         stop = self.now + span
         while self.now < stop:
@@ -86,5 +96,5 @@
 
 
 def of(actions: list[it.Action], kind: type) -> list[Any]:
-    """Return the actions of one type."""
+    """Return those of the actions that have the type `kind`."""
     return [action for action in actions if isinstance(action, kind)]
--- a/tests/test_host_index.py
+++ b/tests/test_host_index.py
@@ -19,7 +19,7 @@
 
 READY, DRAINING, GONE = it.HostState.READY, it.HostState.DRAINING, it.HostState.GONE
 START = 1_000_000.0
-STEP = 0.01  # between the positions at which the cold intervals are sampled
+STEP = 0.01  # distance of the positions at which the cold intervals are sampled
 CONFIG = settings(sizes_told=True, plans=(), counter=False, rules=replace(RULES, warm_ms=1000.0))
 
 
@@ -35,7 +35,7 @@
 
 
 class ModelIndex:
-    """The simplest form of the index: a dict of hosts, sorted on each use."""
+    """The simplest form of the index: a dict of hosts that are sorted on each use."""
 
     def __init__(self, config: it.Settings) -> None:
         self.config = config
--- a/tests/test_module.py
+++ b/tests/test_module.py
@@ -22,139 +22,140 @@
 ROOT = Path(__file__).parent.parent
 
 
-def tiers(*worths: float) -> Tiers:
+def make_tiers(*worths: float) -> Tiers:
+    """Return the tiers of classes with these worths, for the plan with price 1."""
     return Tiers(settings(classes=tuple(replace(SAFE, worth=w) for w in worths)))
 
 
-def run_period(board: Tiers, arrivals: list[int], served: int, out: int, now: float = 0.0) -> None:
-    """Run one period: all `arrivals`, by tier, are admitted, `served` are answered and `out` stay open."""
+def run_period(tiers: Tiers, arrivals: list[int], served: int, out: int, now: float = 0.0) -> None:
+    """Run one period: `arrivals` by tier are offered, `served` are answered and `out` attempts are open."""
     for tier, count in enumerate(arrivals):
         for _ in range(count):
-            board.admit(tier)
+            tiers.admit(tier)
     for n in range(served):
-        board.record_answer(n % 3, now, True, False, 0.2)
-    board.end_period(now, out)
+        tiers.record_answer(n % 3, now, True, False, 0.2)
+    tiers.end_period(now, out)
 
 
-def test_worths_within_a_band_share_a_tier() -> None:
-    board = tiers(10, 9.8, 5, 1)
-    assert [board.tier_of(w) for w in (10, 9.8, 5, 1, 0.1)] == [0, 0, 1, 2, 2]
+def test_worths_within_the_tier_ratio_share_a_tier() -> None:
+    tiers = make_tiers(10, 9.8, 5, 1)
+    assert [tiers.tier_of(w) for w in (10, 9.8, 5, 1, 0.1)] == [0, 0, 1, 2, 2]
 
 
 def test_tiers_fill_from_the_top_and_the_boundary_tier_is_admitted_in_part() -> None:
-    board = tiers(9, 3, 1)
+    tiers = make_tiers(9, 3, 1)
     for _ in range(4):
-        run_period(board, [10, 20, 30], 40, 40)
-    board.end_period(0.0, 0)
-    run_period(board, [10, 20, 30], 40, 300)
-    assert board.capacity > 0
-    board.capacity = 40.0
-    board.arrived = [10, 40, 30]
-    board._set_boundary(0.0)
-    assert board.boundary == 1 and abs(board.boundary_share - (MAX_UTILIZATION * 40 - 10) / 40) < 1e-6
-    assert all(board.admit(0) for _ in range(10)) and not any(board.admit(2) for _ in range(30))
-    assert 25 <= sum(board.admit(1) for _ in range(40)) <= 27
-    assert sum(board.admit(1) for _ in range(400)) <= 2, "a surge within the period gets no further budget"
+        run_period(tiers, [10, 20, 30], 40, 40)
+    tiers.end_period(0.0, 0)
+    run_period(tiers, [10, 20, 30], 40, 300)
+    assert tiers.capacity > 0
+    tiers.capacity = 40.0
+    tiers.arrived = [10, 40, 30]
+    tiers._set_boundary(0.0)
+    assert tiers.boundary == 1 and abs(tiers.boundary_share - (MAX_UTILIZATION * 40 - 10) / 40) < 1e-6
+    assert all(tiers.admit(0) for _ in range(10)) and not any(tiers.admit(2) for _ in range(30))
+    assert 25 <= sum(tiers.admit(1) for _ in range(40)) <= 27
+    assert sum(tiers.admit(1) for _ in range(400)) <= 2, "a surge within the period gets no further budget"
 
 
 def test_a_boundary_budget_below_one_request_carries_over_between_periods() -> None:
     """A budget of 0.25 requests per period admits one request in four periods, not none and not four."""
-    board = tiers(9, 1)
+    tiers = make_tiers(9, 1)
     passed = 0
     for _ in range(400):
-        board.boundary, board.boundary_share, board.budget = 1, 0.25, 0.25
-        passed += board.admit(1)
+        tiers.boundary, tiers.boundary_share, tiers.budget = 1, 0.25, 0.25
+        passed += tiers.admit(1)
     assert 90 <= passed <= 110
 
 
 def test_few_answers_add_up_over_periods_and_one_late_answer_is_no_overload() -> None:
     """A gateway with one answer per period still detects an overload, but not by a single late answer."""
-    board = tiers(1)
+    tiers = make_tiers(1)
     for period in range(12):
-        board.admit(0)
-        board.record_answer(period, 500.0 * period, True, period == 5, 1.5 if period == 5 else 0.2)
-        board.end_period(500.0 * period, 1)
-    assert board.capacity == 0.0
+        tiers.admit(0)
+        tiers.record_answer(period, 500.0 * period, True, period == 5, 1.5 if period == 5 else 0.2)
+        tiers.end_period(500.0 * period, 1)
+    assert tiers.capacity == 0.0
     for period in range(12, 18):
-        board.admit(0)
-        board.record_answer(period, 500.0 * period, True, False, 0.7)
-        board.end_period(500.0 * period, 1)
-    assert 0.0 < board.capacity < 2.0
+        tiers.admit(0)
+        tiers.record_answer(period, 500.0 * period, True, False, 0.7)
+        tiers.end_period(500.0 * period, 1)
+    assert 0.0 < tiers.capacity < 2.0
 
 
-def test_all_tiers_pass_without_an_overload_mark_and_no_arrivals_cause_no_division_by_zero() -> None:
-    board = tiers(9, 1)
-    board.end_period(0.0, 0)
-    assert board.boundary == 2
-    board.capacity = 10.0
-    board.arrived = [5, 50]
-    board._set_boundary(0.0)
-    assert board.boundary == 1 and board.boundary_share < 0.1
+def test_all_tiers_pass_without_an_overload_and_no_arrivals_cause_no_division_by_zero() -> None:
+    tiers = make_tiers(9, 1)
+    tiers.end_period(0.0, 0)
+    assert tiers.boundary == 2
+    tiers.capacity = 10.0
+    tiers.arrived = [5, 50]
+    tiers._set_boundary(0.0)
+    assert tiers.boundary == 1 and tiers.boundary_share < 0.1
 
 
 def test_backlog_takes_capacity_before_new_requests() -> None:
-    board = tiers(9, 1)
-    board.capacity, board.arrived = 10.0, [5, 5]
-    board._set_boundary(20.0)
-    assert (board.boundary, board.boundary_share) == (0, 0.0)
+    tiers = make_tiers(9, 1)
+    tiers.capacity, tiers.arrived = 10.0, [5, 5]
+    tiers._set_boundary(20.0)
+    assert (tiers.boundary, tiers.boundary_share) == (0, 0.0)
 
 
 def test_one_failing_host_is_no_overload() -> None:
-    """Guards against refusing all customers because of one host; fails if its answers mark an overload."""
-    board = tiers(1)
+    """Guards against refusing all customers because of one host: its answers alone are no overload."""
+    tiers = make_tiers(1)
     for n in range(40):
-        board.record_answer(n % 4, 0.0, True, False, 0.2)
+        tiers.record_answer(n % 4, 0.0, True, False, 0.2)
     for _ in range(30):
-        board.record_answer(9, 0.0, False, True, 2.0)
-    board.end_period(0.0, 5)
-    assert board.capacity == 0.0
+        tiers.record_answer(9, 0.0, False, True, 2.0)
+    tiers.end_period(0.0, 5)
+    assert tiers.capacity == 0.0
 
 
-def test_answers_to_requests_from_before_an_overload_mark_do_not_mark_again() -> None:
-    """Incident 1: a backlog set an overload mark in each period until no request was admitted."""
-    board = tiers(1)
+def test_answers_to_requests_sent_before_an_overload_are_no_further_overload() -> None:
+    """Incident 1: a backlog counted as a new overload in each period until no request was admitted."""
+    tiers = make_tiers(1)
     for n in range(40):
-        board.admit(0)
-        board.record_answer(n % 5, 0.0, n % 2 == 0, n % 2 == 1, 0.2)
-    board.end_period(1000.0, 5)
-    first = board.capacity
+        tiers.admit(0)
+        tiers.record_answer(n % 5, 0.0, n % 2 == 0, n % 2 == 1, 0.2)
+    tiers.end_period(1000.0, 5)
+    first = tiers.capacity
     assert first > 0
     for n in range(40):
-        board.admit(0)
-        board.record_answer(n % 4, 500.0, False, True, 0.2)
-    board.end_period(1500.0, 5)
-    assert board.capacity >= first and board.overload_at == 1000.0
+        tiers.admit(0)
+        tiers.record_answer(n % 4, 500.0, False, True, 0.2)
+    tiers.end_period(1500.0, 5)
+    assert tiers.capacity >= first and tiers.overload_at == 1000.0
 
 
 def test_a_pause_in_answers_is_not_taken_for_low_capacity() -> None:
     """Incident 1: a second without answers set the capacity near 0, and recovery took the rest of the day."""
-    board = tiers(1)
+    tiers = make_tiers(1)
     for _ in range(5):
-        run_period(board, [100], 80, 10)
+        run_period(tiers, [100], 80, 10)
     for n in range(100):
-        board.admit(0)
-        board.record_answer(n % 4, 3000.0, False, True, 0.2)
-    board.end_period(3000.0, 30)
-    assert board.capacity >= 50
+        tiers.admit(0)
+        tiers.record_answer(n % 4, 3000.0, False, True, 0.2)
+    tiers.end_period(3000.0, 30)
+    assert tiers.capacity >= 50
 
 
 def test_a_small_random_backlog_is_no_overload() -> None:
     """Guards against refusals at a gateway with little traffic; it may detect a real overload later."""
-    board = tiers(1)
+    tiers = make_tiers(1)
     for _ in range(5):
-        run_period(board, [10], 10, 3)
-    run_period(board, [10], 10, 17)
-    assert board.capacity == 0.0
+        run_period(tiers, [10], 10, 3)
+    run_period(tiers, [10], 10, 17)
+    assert tiers.capacity == 0.0
 
 
 def test_all_tiers_are_admitted_again_after_an_overload() -> None:
-    board = tiers(9, 1)
+    tiers = make_tiers(9, 1)
     for _ in range(3):
-        run_period(board, [20, 40], 20, 200)
-    assert board.boundary < 2
+        run_period(tiers, [20, 40], 20, 200)
+    assert tiers.boundary < 2
     for _ in range(12):
-        run_period(board, [2, 3], 5, 2)
-    assert board.boundary == 2
+        run_period(tiers, [2, 3], 5, 2)
+    assert tiers.boundary == 2
 
 
 WIDE_SPREAD = 40.0  # a spread at which an even share of the burst is far below one request
@@ -184,7 +185,7 @@
     assert abs(customer.level - 5.0) < 0.01 and customer.total == 14.0
 
 
-def test_an_overrun_at_another_gateway_takes_no_stored_units_and_its_return_adds_none() -> None:
+def test_an_overrun_at_another_gateway_takes_nothing_from_the_bucket_and_its_return_adds_nothing() -> None:
     """Case 5757: units that other gateways sent beyond the quota counted as used here.
 
     Requests were refused for seconds because of that.
@@ -232,7 +233,7 @@
     assert not of(other.count(call, 7.0), it.Count), "it is not the first gateway in this window"
 
 
-def test_two_gateways_that_both_add_the_debt_notice_and_one_takes_it_back() -> None:
+def test_two_gateways_that_both_add_the_debt_notice_it_and_one_takes_it_back() -> None:
     """Day calm+mass: units returned after the end of a window left the new count below 0.
 
     Two gateways then took themselves for the first, and the customer was refused for a whole window with at
@@ -475,7 +476,7 @@
     assert PLAN.burst - 1 <= sent <= PLAN.burst + 1
 
 
-def test_two_gateways_that_report_the_same_overflow_notice_and_one_takes_it_back() -> None:
+def test_two_gateways_that_report_the_same_overflow_notice_it_and_one_takes_it_back() -> None:
     drives = [Drive(settings(gateway=n), now=window_start(10) + 10_000.0) for n in range(2)]
     totals: dict[int, float] = {}
     calls = [(drive, call) for drive in drives for call in of(drive.arrive(0)[1], it.Count)]
@@ -562,8 +563,8 @@
             total += calls[0].amount
             got = drive.count(calls[0], total if calls[0].ttl > 1.0 else 0.0)  # the last window was not used
             sent += len(of(got, it.Send))
-    quota = PLAN.burst + PLAN.rate * span / 1000
-    assert abs(sent - quota) <= 2
+    allowed_units = PLAN.burst + PLAN.rate * span / 1000
+    assert abs(sent - allowed_units) <= 2
 
 
 def test_a_customer_with_few_requests_is_not_refused_because_of_its_spread() -> None:
@@ -733,7 +734,7 @@
             total += call.amount
             settle(drive, drive.count(call, total, it.Outcome.RESET if lose else it.Outcome.OK))
 
-    def held() -> int:
+    def counted() -> int:
         return sum(round(total) // base**n % base for n in range(4))
 
     for _ in range(2):
@@ -741,20 +742,22 @@
     assert out == 2, "one gateway may use all of it"
     for drive in drives:
         settle(drive, drive.arrive(spread=4.0)[1])
-    assert out == 2 and held() == 2, "slots that others hold are not granted; claims on them are given back"
+    assert (
+        out == 2 and counted() == 2
+    ), "slots that others hold are not granted; claims on them are given back"
     lose = True
     for send in of(drives[0].done, it.Send)[:2]:
         settle(drives[0], drives[0].end(send, it.Outcome.OK))
     lose = False
-    assert out == 3 and held() == 1, "one slot goes to the request waiting here, the other is reported free"
+    assert out == 3 and counted() == 1, "one slot goes to the request waiting here, the other is given back"
     settle(drives[1], drives[1].run_for(300.0))
-    assert out == 4 and held() == 2
+    assert out == 4 and counted() == 2
     total -= base  # the counter loses a claim that it has answered
     for drive in drives:
         for send in of(drive.done, it.Send):
             settle(drive, drive.end(send, it.Outcome.OK))
         settle(drive, drive.run_for(2000.0))
-    assert held() == 0
+    assert counted() == 0
 
 
 @pytest.mark.parametrize("gateways", [3, 48])
@@ -974,8 +977,8 @@
 def test_a_request_without_time_left_is_answered_at_once() -> None:
     """Incident i0b9d50: a request that came at its deadline waited for a total and got no answer (rule 1)."""
     drive = Drive(settings())
-    for patience in (0.0, 20.0, 40.0):
-        number, got = drive.arrive(0, time_limit_ms=patience)
+    for time_limit_ms in (0.0, 20.0, 40.0):
+        number, got = drive.arrive(0, time_limit_ms=time_limit_ms)
         assert got == [it.Refuse(number)]
 
 
@@ -1009,13 +1012,13 @@
     assert 15 <= wakeups <= 25
 
 
-def test_worths_further_apart_than_a_band_have_different_tiers() -> None:
-    board = tiers(1.4, 1.3)
-    assert board.tier_of(1.4) < board.tier_of(1.3)
+def test_worths_further_apart_than_the_tier_ratio_have_different_tiers() -> None:
+    tiers = make_tiers(1.4, 1.3)
+    assert tiers.tier_of(1.4) < tiers.tier_of(1.3)
 
 
-def test_requests_do_not_queue_behind_an_open_call_while_calls_are_reduced() -> None:
-    """A day with a slow counter: a busy customer always had a call open, and each one caused the next."""
+def test_requests_do_not_wait_for_a_pending_call_while_calls_are_reduced() -> None:
+    """A day with a slow counter: a busy customer always had a call pending, and each one caused the next."""
     drive = Drive(settings())
     first = of(drive.arrive()[1], it.Count)
     drive.gate.calls.load.value, drive.gate.calls.load.at = 4.0, drive.now
@@ -1040,8 +1043,8 @@
     assert reported + customer.unreported == sent and 0 < reported < sent + 1
 
 
-def test_calls_are_made_where_they_tell_most() -> None:
-    """With a slow counter, a full bucket and a recent total need no call; an empty bucket or old total do."""
+def test_calls_are_made_where_they_are_worth_most() -> None:
+    """With a slow counter, full buckets with recent totals need no call; empty ones or old totals do."""
     drive = Drive(settings())
     customer = drive.gate.meter.get_customer(drive.now, it.Arrived(1, drive.now + 5000.0, 1, 0, 0, 1.0, 2.0))
     customer.total_window, customer.total_at, customer.level = 0, drive.now, PLAN.burst
@@ -1051,10 +1054,11 @@
     assert fresh < spent < quota.call_value(customer, drive.now + 5000.0, 1.0) <= 1.0
 
 
-def test_a_call_has_no_weight_if_it_gives_back_more_units_than_it_asks_for() -> None:
-    """Guards against a failed request: the weights added up to 0.
+def test_a_call_has_no_value_if_it_gives_back_more_units_than_it_requests() -> None:
+    """Guards against a division by zero that failed the request.
 
-    This came about with 2 units to give back, 1 asked for and an empty bucket.
+    With 2 units to give back, 1 requested and an empty bucket, the units to exchange and the base that they
+    are weighed against added up to 0.
     """
     drive = Drive(settings(plans=(replace(PLAN, burst=4),)))
     customer = drive.gate.meter.get_customer(drive.now, it.Arrived(1, drive.now + 5000.0, 1, 0, 0, 1.0, 2.0))
@@ -1077,13 +1081,13 @@
 
 
 def test_requests_beyond_quotas_take_no_capacity_of_their_tier() -> None:
-    """In bursts four of five requests are beyond their quota; the tier is not cut as if all were sent."""
-    board = tiers(9, 1)
-    board.capacity = 10.0
+    """In bursts four of five requests are beyond their quota; the tier is not limited as if all were sent."""
+    tiers = make_tiers(9, 1)
+    tiers.capacity = 10.0
     for _ in range(20):
-        board.admit(1, 0.2)
-    board._set_boundary(0.0)
-    assert (board.boundary, board.boundary_share) == (2, 1.0)
+        tiers.admit(1, 0.2)
+    tiers._set_boundary(0.0)
+    assert (tiers.boundary, tiers.boundary_share) == (2, 1.0)
 
 
 def test_a_request_whose_client_left_while_it_waited_for_a_slot_is_not_sent_and_frees_no_slot() -> None:
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -1,4 +1,7 @@
-"""Random event sequences, checked against the five rules by events and actions alone."""
+"""Random event sequences, checked against the five rules by events and actions alone.
+
+The rules stand at the head of rainturn/decisions/gateway.py.
+"""
 
 from __future__ import annotations
 
@@ -15,7 +18,7 @@
 from tests.helpers import LIMITS, Drive, of, settings
 
 NEVER_RAN = (it.Outcome.FULL, it.Outcome.UNREACHABLE, it.Outcome.NOT_SENT)
-CEILED = it.Plan(price=1, rate=50, burst=50, ceiling_rate=5, ceiling_burst=10, ceiling_slack=1)
+CEILING_PLAN = it.Plan(price=1, rate=50, burst=50, ceiling_rate=5, ceiling_burst=10, ceiling_slack=1)
 
 
 @dataclass
@@ -24,11 +27,11 @@
 
     arrived: it.Arrived
     sends: list[tuple[int, float]] = field(default_factory=list)
-    state: dict[int, str] = field(default_factory=dict)  # attempt -> out, maybe, unrun
+    state: dict[int, str] = field(default_factory=dict)  # by attempt: out (open), maybe (ran) or unrun
 
 
 class RuleChecker:
-    """Feeds events to a gateway and checks each of its actions."""
+    """Feeds events to a gateway and checks each of its actions; times are in ms."""
 
     def __init__(self, config: it.Settings) -> None:
         self.config, self.now = config, 50_000.0
@@ -52,24 +55,24 @@
             self.calls.append(action)
         elif isinstance(action, it.Refuse | it.Fail):
             req = self.open.pop(action.request)  # a KeyError means a second answer: rule 1
-            klass = self.config.classes[req.arrived.request_class]
+            request_class = self.config.classes[req.arrived.request_class]
             ran = [n for n, s in req.state.items() if s != "unrun"]
-            if isinstance(action, it.Refuse) and klass.effect is not it.Effect.SAFE:
+            if isinstance(action, it.Refuse) and request_class.effect is not it.Effect.SAFE:
                 assert not ran, "rule 2: refused though it may have run"
 
     def check_send(self, action: it.Send) -> None:
         req = self.open[action.request]  # a KeyError means a send after the final answer: rule 1
         entry = self.hosts[action.host]
         assert entry.state is it.HostState.READY, "rule 3"
-        klass = self.config.classes[req.arrived.request_class]
+        request_class = self.config.classes[req.arrived.request_class]
         if not self.config.limits.may_duplicate:
             assert "out" not in req.state.values(), "two attempts at once"
         ran = [n for n, s in sorted(req.state.items()) if s != "unrun"]
-        if ran and klass.effect is it.Effect.UNSAFE:
+        if ran and request_class.effect is it.Effect.UNSAFE:
             raise AssertionError("rule 2: an unsafe request went out again")
-        if ran and klass.effect is it.Effect.KEYED:
+        if ran and request_class.effect is it.Effect.KEYED:
             host, at = req.sends[ran[0]]
-            assert self.hosts[host].zone == entry.zone and self.now <= at + klass.window_ms, "rule 2"
+            assert self.hosts[host].zone == entry.zone and self.now <= at + request_class.window_ms, "rule 2"
         if not req.sends:
             self.first_sends.append(self.now)
         if entry.started and self.now - entry.started < self.config.rules.warm_ms:
@@ -91,8 +94,8 @@
             self.feed(it.CountAnswered(call.name, list(it.Outcome)[pick % 5], float(pick % 40), 3.0))
         elif kind == 8:
             host, state = pick % 6 + 1, list(it.HostState)[pick % 3]
-            born = self.now if pick % 4 == 0 else self.hosts[host].started if host in self.hosts else 0.0
-            self.hosts[host] = it.HostEntry(host, host % 2, 0, state, 1.0, born)
+            started = self.now if pick % 4 == 0 else self.hosts[host].started if host in self.hosts else 0.0
+            self.hosts[host] = it.HostEntry(host, host % 2, 0, state, 1.0, started)
             self.feed(it.HostList(it.ListKind.DELTA, (self.hosts[host],)))
         else:
             self.pass_time(20.0 * (1 + pick % 10))
@@ -154,26 +157,26 @@
 
 @QUICK
 @given(STEPS)
-def test_rules_one_to_three_with_copies(steps: list[tuple[int, int]]) -> None:
+def test_rules_one_to_three_with_duplicate_attempts(steps: list[tuple[int, int]]) -> None:
     play(settings(), steps)
 
 
 @QUICK
 @given(STEPS)
-def test_rules_one_to_three_one_attempt_at_a_time(steps: list[tuple[int, int]]) -> None:
+def test_rules_one_to_three_with_one_attempt_at_a_time(steps: list[tuple[int, int]]) -> None:
     play(settings(limits=replace(LIMITS, may_duplicate=False), counter=False), steps)
 
 
 @QUICK
 @given(STEPS)
-def test_rule_five_ceiling(steps: list[tuple[int, int]]) -> None:
-    play(settings(plans=(CEILED,)), steps).check_ceiling(CEILED, 5)
+def test_rule_five_holds_for_all_customers_together(steps: list[tuple[int, int]]) -> None:
+    play(settings(plans=(CEILING_PLAN,)), steps).check_ceiling(CEILING_PLAN, 5)
 
 
 def test_rule_four_limits_a_cold_host_for_hundreds_of_gateways_together() -> None:
     """A cold host gets at most its current part of an even share, however many gateways there are.
 
-    Guards against each gateway sending one request, and against held requests that draw at every look.
+    Guards against each gateway sending one request, and against held requests that draw at every check.
     """
     cold = 0
     count = 300
@@ -190,7 +193,7 @@
 
 
 def test_rule_four_a_cold_fleet_is_not_flooded_by_held_requests() -> None:
-    """All hosts are cold and requests are held: each draws once, however often it looks for a host."""
+    """All hosts are cold and requests are held: each draws once, however often a host is looked for."""
     gate = Gateway(settings(plans=(), counter=False), 5)
     now = 50_000.0
     entries = tuple(it.HostEntry(n, 0, 0, it.HostState.READY, 1.0, now) for n in range(1, 11))
@@ -207,7 +210,7 @@
 @pytest.mark.parametrize("gateways", [3, 24, 200])
 @pytest.mark.parametrize("sizes", [(1.0,), (1.0, 0.25)])
 def test_rule_four_holds_for_unequal_gateways_together(gateways: int, sizes: tuple[float, ...]) -> None:
-    """A cold host gets no more than its budget, with a margin for chance, in any span of the fall rule.
+    """A cold host gets no more than its budget, with a margin for chance, in any span of `fall_ms`.
 
     The traffic is unequal and uses all capacity, a third of the hosts start one after another, attempts fail
     and are repeated, and gateways restart.
@@ -217,10 +220,10 @@
     rules = config.rules
     rate = 20.0 / 1000  # capacity of a warm host of size 1, requests per ms
     size = {n: sizes[n % len(sizes)] for n in range(hosts)}
-    born = {n: now + 700.0 * n if n % 3 == 0 else 0.0 for n in range(hosts)}
+    started_at = {n: now + 700.0 * n if n % 3 == 0 else 0.0 for n in range(hosts)}
     traffic = [rng.expovariate(1.0) for _ in range(gateways)]
     gates: dict[int, Gateway] = {}
-    sent: dict[int, list[float]] = {n: [] for n in born if born[n]}
+    sent: dict[int, list[float]] = {n: [] for n in started_at if started_at[n]}
     repeats = 0
 
     def handle_actions(gate: Gateway, actions: list[it.Action]) -> None:
@@ -249,9 +252,9 @@
         return it.HostList(
             it.ListKind.FULL,
             tuple(
-                it.HostEntry(n + 1, 0, 0, it.HostState.READY, size[n], born[n])
+                it.HostEntry(n + 1, 0, 0, it.HostState.READY, size[n], started_at[n])
                 for n in range(hosts)
-                if born[n] <= now
+                if started_at[n] <= now
             ),
         )
 
@@ -259,7 +262,7 @@
     while now < stop:
         now += rng.expovariate(rate * sum(size.values()))
         for n in sent:
-            if now - 20.0 < born[n] <= now:
+            if now - 20.0 < started_at[n] <= now:
                 for gate in gates.values():
                     gate.handle(now, host_list())
         number = rng.choices(range(gateways), traffic)[0]
@@ -275,16 +278,16 @@
     for n, times in sent.items():
         assert times
         for i, at in enumerate(times):
-            if at + rules.fall_ms > born[n] + rules.warm_ms:
+            if at + rules.fall_ms > started_at[n] + rules.warm_ms:
                 break  # the host is warm by then
-            warmth = rules.cold_share + (1 - rules.cold_share) * (at - born[n]) / rules.warm_ms
+            warmth = rules.cold_share + (1 - rules.cold_share) * (at - started_at[n]) / rules.warm_ms
             budget = rules.fall_multiple * warmth * rate * size[n] * rules.fall_ms
             here = sum(at <= later < at + rules.fall_ms for later in times[i:])
-            assert here <= budget + 2 * budget**0.5 + 2, (n, at - born[n], here, budget)
+            assert here <= budget + 2 * budget**0.5 + 2, (n, at - started_at[n], here, budget)
 
 
 def test_rule_five_holds_however_often_a_gateway_restarts() -> None:
-    """The ceiling belongs to the customer: its level outlives a process, and a new one does not know it."""
+    """The ceiling bucket is the customer's: its level outlives a process, and a new one doesn't know it."""
     plan = it.Plan(price=1, rate=50, burst=50, ceiling_rate=4, ceiling_burst=8, ceiling_slack=1)
     config = settings(plans=(plan,), counter=False, gateways=1)
     level, filled_at, now = plan.ceiling_burst, 100_000.0, 100_000.0
@@ -300,7 +303,7 @@
 
     drive = Drive(config, now=now)
     send_burst(drive, 1)
-    drive.run_for(10_000)  # the gateway's share refills
+    drive.run_for(10_000)  # the gateway's share of the bucket refills
     send_burst(drive, 20)
     for _ in range(5):
         drive = Drive(config, now=drive.now + 50.0)
