--- a/rainturn/decisions/admission.py
+++ b/rainturn/decisions/admission.py
@@ -11,7 +11,7 @@
 PERIOD_MS = 500.0  # the paper's T: short against target times, so that refusals begin before answers are late
 MAX_UTILIZATION = 0.9  # the paper's 0.6 is of a CPU; of measured departures, only queues need the rest
 OVERLOAD_BAD_SHARE = 0.15  # share of late or full answers in an overload: well above a few costly requests
-MIN_ANSWERS = 4  # fewer answers prove nothing; they add up over periods
+MIN_ANSWERS = 4  # fewer answers show nothing; they add up over periods until there are enough
 MAX_QUEUE_SHARE = 0.4  # share of the target time that requests may take to depart; more means overload
 FEW_ANSWERS = 10  # up to this many, a long mean wait means overload too: the share of late ones says little
 MIN_CAPACITY_KEPT = 0.5  # least share kept in an overload: a pause in departures is not low capacity
@@ -49,7 +49,7 @@
         return len(self.arrived) - 1
 
     def record_answer(self, host: int, sent_at: float, served: bool, bad: bool, wait: float) -> None:
-        """Count an answer.
+        """Count an answer that took `wait` target times and, if `bad`, was late or full.
 
         Attempts sent before the last overload are no evidence of another: otherwise a backlog would lead to
         the refusal of all requests.
@@ -58,7 +58,7 @@
         self.answers.add(host, bad, wait, is_counted=sent_at >= self.overload_at)
 
     def admit(self, tier: int, pass_chance: float = 1.0) -> bool:
-        """Decide on an arrival; fractions of the boundary tier's budget carry over, as few reach one gateway.
+        """Decide on an arrival; fractions of the boundary budget carry over, as a gateway gets few requests.
 
         `pass_chance` is the chance that the request's quota admits it.
         """
@@ -82,9 +82,7 @@
         self.periods += 1
         self.mean_served += max(0.3, 1 / self.periods) * (served - self.mean_served)
         expected_queue = max(self.mean_served, served) * self.max_queue_periods
-        backlog = (
-            open_attempts - expected_queue - 2 * math.sqrt(expected_queue)
-        )  # less what gathers by chance
+        backlog = open_attempts - expected_queue - 2 * math.sqrt(expected_queue)  # a few gather by chance
         others = total - worst.total
         many_bad = bad - worst.bad >= OVERLOAD_BAD_SHARE * others
         long_wait = total <= FEW_ANSWERS and wait - worst.wait >= MAX_QUEUE_SHARE * others
--- a/rainturn/decisions/attempts.py
+++ b/rainturn/decisions/attempts.py
@@ -49,7 +49,7 @@
         if request.customer is not None:
             request.customer.open_attempts += 1
         first_run, within = request.first_run(), math.inf
-        if first_run is not None and request_class.effect is it.Effect.KEYED:  # also covers connecting
+        if first_run is not None and request_class.effect is it.Effect.KEYED:  # the limit includes connecting
             within = self._repeat_until(request_class, first_run) - now
         request.attempts.append(Attempt(host, now, request.is_complete))
         request.is_moving = False
--- a/rainturn/decisions/quota.py
+++ b/rainturn/decisions/quota.py
@@ -106,11 +106,11 @@
 ) -> float:
     """Return the units to add again to a count that the counter has lost; 0 if no loss is found.
 
-    A gateway that has read the count restores what it showed, but with the units let in since no more than
-    the count of an empty bucket. Others may have restored a part; the rest is then added only if a recent
-    loss is known, because refused requests give back some units all the time. A gateway that has not read
-    the count, and finds no use in a window that began before the loss, restores half a bucket, as the bucket
-    may have been full or empty.
+    A gateway that has read the count restores what it showed, but together with the units let in since at
+    most the count of an empty bucket. Others may have restored a part; the rest is then added only if a
+    recent loss is known, because refused requests give back some units all the time. A gateway that has not
+    read the count, and finds it unused in a window that began before the loss, restores half a bucket, as
+    the bucket may have been full or empty.
     """
     plan, before_call, age = customer.plan, total - call.amount, customer.window_age(now, call.window)
     if call.window == customer.total_window:
@@ -131,9 +131,10 @@
     """Set the correction of a count, which alone shows neither a full nor an empty bucket.
 
     Units that refill a full bucket overflow. Once these are reported, the count shows all gateways the same
-    level; otherwise a gateway that first sees a customer in mid-window takes units that others have just used
-    for refilled long ago. Units let in beyond an empty bucket took nothing from it. When two gateways report
-    the same, they learn of it from the answers, and the later one takes its part back.
+    level; otherwise a gateway that first sees a customer in mid-window assumes that units that others have
+    just used were refilled long ago. Units let in beyond an empty bucket took nothing from it and are taken
+    off the count. When two gateways report the same, the answers show it, and the later one takes its part
+    back.
     """
     burst, full = customer.plan.burst, customer.plan.rate * customer.window_age(now, call.window) / 1000
     overflow, customer.correction_window = full - (total - call.amount), call.window
--- a/rainturn/records.py
+++ b/rainturn/records.py
@@ -61,7 +61,7 @@
         self.latency_at = now
         self.last_answer_at = now
         self.waiting_since = now  # since when it has had load without answering
-        self.tried_at = now  # the last attempt
+        self.tried_at = now  # time of the last attempt
         self.failures = 0  # in a row
         self.resets = 0  # broken connections in a row
         self.failing_since = 0.0  # time of the first of these failures
@@ -260,7 +260,7 @@
         self.last_request_at = now
 
         self.level = 0.0  # units in the quota bucket
-        self.confirmed_level = 0.0  # level by the last total, without units let in since
+        self.confirmed_level = 0.0  # level by the last total; units let in since then are not taken off
         self.filled_at = now  # time of the last refill of the level
         self.others_rate = 0.0  # estimated units/s that the other gateways take
         self.overrun = 0.0  # units that others recently let in beyond what the bucket held
--- a/tests/test_module.py
+++ b/tests/test_module.py
@@ -456,7 +456,7 @@
 
 @pytest.mark.parametrize("gateways", [3, 48])
 def test_a_burst_through_many_gateways_in_mid_window_stays_within_the_bucket(gateways: int) -> None:
-    """Days with large fleets: a gateway new to the customer took units that were just used for refilled."""
+    """Days with large fleets: a gateway new to the customer took units just used for refilled ones."""
     now = window_start(10) + 10_000.0
     drives = [Drive(settings(gateways=gateways, gateway=n), now=now) for n in range(gateways)]
     totals: dict[int, float] = {}
