--- a/rainturn/counts.py
+++ b/rainturn/counts.py
@@ -77,10 +77,10 @@
         """Split a total. A digit may be negative for a while; other gateways' negative digits count as 0."""
         own, others, rest = 0, 0, round(total)
         for position in range(self.digit_count):
-            held = (rest + self.base // 2) % self.base - self.base // 2
-            rest = (rest - held) // self.base
+            slots = (rest + self.base // 2) % self.base - self.base // 2
+            rest = (rest - slots) // self.base
             if position == self.position:
-                own = held
+                own = slots
             else:
-                others += max(0, held)
+                others += max(0, slots)
         return SlotShares(own, others)
--- a/rainturn/decisions/quota.py
+++ b/rainturn/decisions/quota.py
@@ -115,13 +115,13 @@
     plan, before_call, age = customer.plan, total - call.amount, customer.window_age(now, call.window)
     if call.window == customer.total_window:
         empty = plan.burst + plan.rate * age / 1000
-        # Guards against mistaking corrections that several gateways made at once, and that are withdrawn, for
-        # lost counts: no more than the count of an empty bucket can have been lost.
-        held = min(customer.total, empty)
-        fallen = held - before_call
-        if fallen < max(2.0, plan.burst / 2, 0.0 if loss_known else held / 2):
+        # Guards against taking the withdrawal of corrections, which several gateways may make at once, for a
+        # loss: no more than the count of an empty bucket can have been lost.
+        known_count = min(customer.total, empty)
+        fallen = known_count - before_call
+        if fallen < max(2.0, plan.burst / 2, 0.0 if loss_known else known_count / 2):
             return 0.0
-        return max(fallen, min(held, empty - before_call) if before_call < held / 4 else 0.0)
+        return max(fallen, min(known_count, empty - before_call) if before_call < known_count / 4 else 0.0)
     full = plan.rate * (age - (now - fall_seen_at)) / 1000  # a full bucket's count at the time of the loss
     known = full > 0.0 and before_call < full - MIN_CORRECTION_SHARE * plan.burst
     return full + plan.burst / 2 - before_call if known else 0.0
