--- a/rainturn/decisions/quota.py
+++ b/rainturn/decisions/quota.py
@@ -17,7 +17,7 @@
 OTHERS_RATE_TIME_CONSTANT_MS = 3000.0  # averaging time of the rate at which other gateways take units
 CALL_VALUE_BASE_SHARE = 0.25  # share of the burst that unexchanged units are weighed against at level 0
 FRESH_TOTAL_MS = 1000.0  # up to this age a total can show that a bucket is short, if nobody took units since
-TARGET_COUNTER_LOAD = 0.3  # counter's answer time as a share of the time-out; calls are thinned above it
+TARGET_COUNTER_LOAD = 0.3  # counter's answer time as a share of the time-out; fewer calls are made above it
 FAILED_CALL_LOAD = 2.0  # a failed call counts as this many time-outs
 LOAD_DECAY_MS = 5000.0  # time constant with which the load decays, so that calls resume after an outage
 REPORT_DELAY_MS = 500.0  # units let in without a call are reported to the counter after this time
@@ -91,8 +91,8 @@
 def _limit_level(customer: Customer, level: float, growth: float, elapsed: float) -> float:
     """Limit a level to the range 0 to burst: requests beyond the quota take nothing from the bucket.
 
-    Guards against one gateway's overrun causing refusals at the others as well. The part cut off here is
-    remembered for as long as it would take to refill: units given back from it are no gain.
+    Guards against one gateway's overrun causing refusals at the others as well. The excess is remembered
+    for as long as it would take to refill: units given back from it are no gain.
     """
     given_back = min(customer.overrun, max(0.0, -growth))
     level -= given_back
@@ -106,22 +106,22 @@
 ) -> float:
     """Return the units to add again to a count that the counter has lost; 0 if no loss is found.
 
-    A gateway that has read the count restores what it showed, but with the units let in since no more than
-    the count of an empty bucket. Others may have restored a part; the rest is then added only if a recent
-    loss is known, because refused requests give back some units all the time. A gateway that has not read
-    the count, and finds no use in a window that began before the loss, restores half a bucket, as the bucket
-    may have been full or empty.
+    A gateway that has read the count restores what it showed, but together with the units let in since at
+    most the count of an empty bucket. Others may have restored a part; the rest is then added only if a
+    recent loss is known, because refused requests give back some units all the time. A gateway that has not
+    read the count, and finds it unused in a window that began before the loss, restores half a bucket, as
+    the bucket may have been full or empty.
     """
     plan, before_call, age = customer.plan, total - call.amount, customer.window_age(now, call.window)
     if call.window == customer.total_window:
         empty = plan.burst + plan.rate * age / 1000
-        # Guards against mistaking corrections that several gateways made at once, and that are withdrawn, for
-        # lost counts: no more than the count of an empty bucket can have been lost.
-        held = min(customer.total, empty)
-        fallen = held - before_call
-        if fallen < max(2.0, plan.burst / 2, 0.0 if loss_known else held / 2):
+        # Guards against taking the withdrawal of corrections, which several gateways may make at once, for a
+        # loss: no more than the count of an empty bucket can have been lost.
+        known_count = min(customer.total, empty)
+        fallen = known_count - before_call
+        if fallen < max(2.0, plan.burst / 2, 0.0 if loss_known else known_count / 2):
             return 0.0
-        return max(fallen, min(held, empty - before_call) if before_call < held / 4 else 0.0)
+        return max(fallen, min(known_count, empty - before_call) if before_call < known_count / 4 else 0.0)
     full = plan.rate * (age - (now - fall_seen_at)) / 1000  # a full bucket's count at the time of the loss
     known = full > 0.0 and before_call < full - MIN_CORRECTION_SHARE * plan.burst
     return full + plan.burst / 2 - before_call if known else 0.0
@@ -131,9 +131,10 @@
     """Set the correction of a count, which alone shows neither a full nor an empty bucket.
 
     Units that refill a full bucket overflow. Once these are reported, the count shows all gateways the same
-    level; otherwise a gateway that first sees a customer in mid-window takes units that others have just used
-    for refilled long ago. Units let in beyond an empty bucket took nothing from it. When two gateways report
-    the same, they learn of it from the answers, and the later one takes its part back.
+    level; otherwise a gateway that first sees a customer in mid-window assumes that units that others have
+    just used were refilled long ago. Units let in beyond an empty bucket took nothing from it and are taken
+    off the count. When two gateways report the same, the answers show it, and the later one takes its part
+    back.
     """
     burst, full = customer.plan.burst, customer.plan.rate * customer.window_age(now, call.window) / 1000
     overflow, customer.correction_window = full - (total - call.amount), call.window
