--- a/rainturn/emulator/__init__.py
+++ b/rainturn/emulator/__init__.py
@@ -1,5 +1,6 @@
-"""The scale run: stand-ins for what a gateway meets, and many hollow gateways beside a few real ones.
+"""The emulator: measures large fleets on one machine, with many hollow gateways and a few real ones.
 
-Nothing here is loaded by the gateway itself or by the simulator's adapter. The packages that it needs stand
-in requirements-dev.txt only.
+A hollow gateway decides as a real one does, but has no sockets to clients and hosts. Stand-ins take the place
+of discovery, the counter, hosts and clients. Neither the gateway nor the simulator's adapter imports this
+package; the packages that only it needs are listed in requirements-dev.txt alone.
 """
--- a/rainturn/emulator/__main__.py
+++ b/rainturn/emulator/__main__.py
@@ -16,7 +16,7 @@
 EXIT_USAGE, EXIT_INCOMPLETE, EXIT_INTERRUPTED = 2, 1, 130
 # Multiples of how long a gateway's watch of the host list waits for a change.
 QUICK_WINDOW_S, WINDOW_S = 2.0, 6.0
-MIN_SIZE = 16  # for gateways and hosts: leaves room for four doubling sizes below
+MIN_SIZE = 16  # of gateways, hosts and tenants: the least with four sizes below it that double
 
 
 class OneLineParser(argparse.ArgumentParser):
@@ -49,11 +49,15 @@
     commands = top.add_subparsers(dest="command", required=True, parser_class=OneLineParser)
     scale = commands.add_parser("scale", help="hollow gateways beside real ones, on loopback")
     scale.add_argument("--quick", action="store_true", help="smaller sizes, within 45 s")
-    scale.add_argument("--gateways", type=_number_between(int, MIN_SIZE, 5000), help="largest fleet")
-    scale.add_argument("--hosts", type=_number_between(int, MIN_SIZE, 50_000), help="longest host list")
-    scale.add_argument("--tenants", type=_number_between(int, MIN_SIZE, 200_000), help="most customers")
     scale.add_argument(
-        "--requests-per-second", type=_number_between(float, 1, 10_000), help="of the largest fleet"
+        "--gateways", type=_number_between(int, MIN_SIZE, 5000), help="gateways in the largest fleet"
+    )
+    scale.add_argument(
+        "--hosts", type=_number_between(int, MIN_SIZE, 50_000), help="hosts in the longest list"
+    )
+    scale.add_argument("--tenants", type=_number_between(int, MIN_SIZE, 200_000), help="customers at most")
+    scale.add_argument(
+        "--requests-per-second", type=_number_between(float, 1, 10_000), help="at the largest fleet"
     )
     scale.add_argument(
         "--changes-per-second", type=_number_between(float, 0.01, 100), help="of the host list"
--- a/rainturn/emulator/commands.py
+++ b/rainturn/emulator/commands.py
@@ -8,8 +8,8 @@
 
 
 @dataclass(frozen=True)
-class Read:
-    """Read what a role has measured so far."""
+class GetReading:
+    """Read what a role has measured so far; the answer is one of the readings below."""
 
 
 @dataclass(frozen=True)
@@ -32,7 +32,7 @@
 
 
 @dataclass(frozen=True)
-class SetList:
+class ReplaceHostList:
     """Replace the host list with one of `hosts` hosts at these addresses; the answer is its version."""
 
     hosts: int
@@ -43,8 +43,8 @@
 class ChangeHosts:
     """Change one host at a time, `count` times; the answer is a `ListChange`.
 
-    Each change follows once `watchers` callers have the change before it. If `watchers` is 0, each follows
-    `interval_s` after the one before, whether callers have that or not.
+    Each change follows once `watchers` callers have the change before it. If `watchers` is 0, the changes
+    follow each other at `interval_s`, whether callers have them or not.
     """
 
     count: int
@@ -56,8 +56,9 @@
 class ChangeZone:
     """Terminate a zone, a fraction of all hosts, or let it return cold; the answer is a `ListChange`.
 
-    The change is one version, or one version for each host. Each of these follows once `watchers` callers
-    have the version before it; if `watchers` is 0, they are spread evenly over `duration_s`.
+    The change is one version, or one version for each host. In the second case each version follows once
+    `watchers` callers have the one before it; if `watchers` is 0, the versions are spread evenly over
+    `duration_s`.
     """
 
     fraction: float
@@ -69,7 +70,7 @@
 
 @dataclass(frozen=True)
 class SetAnswerTime:
-    """Take this time for each answer, one after another; 0 means that discovery is not slow."""
+    """Answer calls one after another, each after `answer_ms`; 0 means at once."""
 
     answer_ms: float
 
@@ -87,15 +88,15 @@
 
 
 @dataclass(frozen=True)
-class Join:
-    """Start gateways; the answer, `Joined`, comes once all have a host list, or after `timeout_s`."""
+class StartGateways:
+    """Start gateways; `GatewaysStarted` is the answer once all have a host list, or after `timeout_s`."""
 
     numbers: tuple[int, ...]
     timeout_s: float = 60.0
 
 
 @dataclass(frozen=True)
-class Joined:
+class GatewaysStarted:
     """Time until all gateways had a list, processor time for that, both in s, and how many got no list."""
 
     took_s: float
@@ -111,7 +112,7 @@
 
 
 @dataclass(frozen=True)
-class Leave:
+class StopGateways:
     """Stop gateways."""
 
     numbers: tuple[int, ...]
@@ -156,8 +157,11 @@
 
 
 @dataclass(frozen=True)
-class AwaitReady:
-    """Wait until the gateways at these addresses are ready for clients; the answer is whether all are."""
+class TargetGateways:
+    """Direct the clients' later requests to the gateways at these addresses.
+
+    The answer comes once all of them are ready for clients, or after `timeout_s`, and is whether all are.
+    """
 
     addresses: dict[int, tuple[str, int]] = field(default_factory=dict)
     timeout_s: float = 30.0
--- a/rainturn/emulator/comparison.py
+++ b/rainturn/emulator/comparison.py
@@ -7,17 +7,17 @@
 from functools import partial
 
 from rainturn.emulator.commands import (
-    AwaitReady,
     ChangeHosts,
     ClientReading,
+    GetReading,
     HollowReading,
-    Join,
     Listen,
-    Read,
+    ReplaceHostList,
     ServiceReading,
-    SetList,
+    StartGateways,
     StartLoad,
     StopLoad,
+    TargetGateways,
 )
 from rainturn.emulator.gateway_roles import ClientRole, HollowRole
 from rainturn.emulator.hollow import Addresses
@@ -112,10 +112,10 @@
             for number in range(GATEWAYS_PER_KIND)
         ]
         for number, worker in enumerate(self.hollow):
-            worker.ask(Join((number,)))
+            worker.ask(StartGateways((number,)))
         self.replace_host_list(MIN_HOSTS)
-        ready = AwaitReady({gateway.number: gateway.address for gateway in self.real})
-        if not self.client.ask(ready):
+        target = TargetGateways({gateway.number: gateway.address for gateway in self.real})
+        if not self.client.ask(target):
             raise WorkerFailed("a real gateway was not ready: " + self.real[0].log()[-500:])
 
     def workers(self) -> tuple[Worker, ...]:
@@ -124,12 +124,12 @@
 
     def read(self) -> dict[str, Reading]:
         """Return the totals of both kinds so far."""
-        discovery: ServiceReading = self.discovery.ask(Read())
+        discovery: ServiceReading = self.discovery.ask(GetReading())
         counters: dict[str, ServiceReading] = {
-            kind: worker.ask(Read()) for kind, worker in self.counters.items()
+            kind: worker.ask(GetReading()) for kind, worker in self.counters.items()
         }
-        hollow: list[HollowReading] = ask_all(self.hollow, Read())
-        client: ClientReading = self.client.ask(Read())
+        hollow: list[HollowReading] = ask_all(self.hollow, GetReading())
+        client: ClientReading = self.client.ask(GetReading())
         real_cpu_s = sum(gateway.resource_usage().cpu_s for gateway in self.real)
         cpu_s = {HOLLOW: sum(reading.cpu_s for reading in hollow), REAL: real_cpu_s}
         requests = {HOLLOW: sum(reading.requests for reading in hollow), REAL: client.requests}
@@ -154,7 +154,7 @@
 
     def replace_host_list(self, hosts: int) -> None:
         """Replace the host list by one with `hosts` hosts, and wait until all gateways have it whole."""
-        self.discovery.ask(SetList(hosts, self.host_addresses))
+        self.discovery.ask(ReplaceHostList(hosts, self.host_addresses))
         self.discovery.ask(ChangeHosts(0, watchers=2 * GATEWAYS_PER_KIND))
 
     def measure_idle(self, seconds: float) -> dict[str, Window]:
@@ -171,11 +171,11 @@
         return self.since(before, started_at)
 
     def measure_load(
-        self, requests_per_second: float, seconds: float, dry: bool = False
+        self, requests_per_second: float, seconds: float, dry_run: bool = False
     ) -> dict[str, Window]:
         """Measure a window with `requests_per_second` at each gateway.
 
-        With `dry`, the requests of the hollow gateways are drawn and built, but no gateway gets them.
+        With `dry_run`, the requests of the hollow gateways are drawn and built, but no gateway gets them.
         """
         options = self.context.options
         load = StartLoad(
@@ -183,9 +183,9 @@
             min(options.tenants, 2000),
             GATEWAYS_PER_KIND,
             options.seed,
-            dry,
+            dry_run,
         )
-        load_workers = self.hollow if dry else [*self.hollow, self.client]
+        load_workers = self.hollow if dry_run else [*self.hollow, self.client]
         ask_all(load_workers, load)
         time.sleep(self.context.settle_s)
         window = self.measure_idle(seconds)
@@ -275,8 +275,8 @@
     calibration_size = Size(min(MIN_HOSTS, hosts // 2), rate, seconds, changes)
     gateways = GatewayPairs(context)
     idle = gateways.measure_idle(seconds / 2)[HOLLOW]
-    dry = gateways.measure_load(rate, seconds, dry=True)[HOLLOW]
-    draw_us = 1e6 * (dry.cpu_s - idle.cpu_s * dry.seconds / idle.seconds) / max(1, dry.requests)
+    dry_run = gateways.measure_load(rate, seconds, dry_run=True)[HOLLOW]
+    draw_us = 1e6 * (dry_run.cpu_s - idle.cpu_s * dry_run.seconds / idle.seconds) / max(1, dry_run.requests)
     calibration = measure_size(gateways, calibration_size, draw_us)
     figures = measure_size(gateways, Size(hosts, rate, seconds, changes), draw_us)
     gateways.stop()
--- a/rainturn/emulator/control_series.py
+++ b/rainturn/emulator/control_series.py
@@ -13,14 +13,14 @@
 from rainturn.emulator.commands import (
     ChangeHosts,
     ChangeZone,
+    GatewaysStarted,
+    GetReading,
     HollowReading,
-    Join,
-    Joined,
     ListChange,
     Listen,
-    Read,
+    ReplaceHostList,
     ServiceReading,
-    SetList,
+    StartGateways,
     WatchStalls,
 )
 from rainturn.emulator.gateway_roles import HollowRole
@@ -45,9 +45,8 @@
 CHANGE_CPU = Quantity(ROLE, "one_change_cpu", "ms", "hosts")
 CHANGE_BYTES = Quantity(ROLE, "one_change_bytes", "bytes", "hosts")
 CHANGE_STALL = Quantity(ROLE, "one_change_longest_stall", "ms", "hosts")
-CHANGE_GAP = Quantity(
-    ROLE, "one_change_longest_gap", "ms", "hosts"
-)  # wall time, so it includes other processes
+# Wall time, which includes the time that other processes use on the same cores.
+CHANGE_GAP = Quantity(ROLE, "one_change_longest_gap", "ms", "hosts")
 HELD_MEMORY = Quantity(ROLE, "list_held_memory", "MB", "hosts")
 PEAK_MEMORY = Quantity(ROLE, "list_peak_memory", "MB", "hosts")
 QUANTITIES = (
@@ -72,14 +71,14 @@
 
     def traffic_bytes(self) -> int:
         """Return the payload bytes that discovery has received and sent so far."""
-        reading: ServiceReading = self.discovery.ask(Read())
+        reading: ServiceReading = self.discovery.ask(GetReading())
         traffic = reading.traffic[LABEL]
         return traffic.bytes_in + traffic.bytes_out
 
 
 def process_cpu_s(worker: Worker) -> float:
     """Return the processor time of a process of hollow gateways so far, in s."""
-    reading: HollowReading = worker.ask(Read())
+    reading: HollowReading = worker.ask(GetReading())
     return reading.cpu_s
 
 
@@ -95,12 +94,16 @@
 ) -> Mapping[str, float]:
     """Measure all figures of one gateway's control path with `hosts` hosts."""
     context.check_limits()
-    services.discovery.ask(SetList(hosts, UNUSED_HOST_ADDRESSES))
+    services.discovery.ask(ReplaceHostList(hosts, UNUSED_HOST_ADDRESSES))
     with context.worker(partial(HollowRole, 1, services.addresses, context.options.seed)) as worker:
-        held_mb, before, traffic_bytes = worker.memory_mb(), worker.ask(Read()), services.traffic_bytes()
-        joined: Joined = worker.ask(Join((0,)))
-        after, list_bytes = worker.ask(Read()), services.traffic_bytes() - traffic_bytes
-        list_held_mb = worker.memory_mb() - held_mb
+        memory_before_mb, before, traffic_bytes = (
+            worker.memory_mb(),
+            worker.ask(GetReading()),
+            services.traffic_bytes(),
+        )
+        started: GatewaysStarted = worker.ask(StartGateways((0,)))
+        after, list_bytes = worker.ask(GetReading()), services.traffic_bytes() - traffic_bytes
+        list_held_mb = worker.memory_mb() - memory_before_mb
         idle_cpu = measure_idle_cpu(worker, idle_s)
         traffic_bytes, started_at, cpu_s = services.traffic_bytes(), time.monotonic(), process_cpu_s(worker)
         services.discovery.ask(ChangeHosts(changes, watchers=1))
@@ -111,7 +114,7 @@
         stalls: Stalls = worker.ask(WatchStalls(False))
     return {
         IDLE_CPU.name: idle_cpu * 1000,
-        LIST_CPU.name: joined.cpu_s * 1000,
+        LIST_CPU.name: started.cpu_s * 1000,
         LIST_BYTES.name: float(list_bytes),
         CHANGE_CPU.name: max(0.0, cpu_s) * 1000 / changes,
         CHANGE_BYTES.name: change_bytes / changes,
@@ -127,15 +130,17 @@
 
     `change_mode` says how the hosts return: "one_list", "single_changes" or "stream_of_changes".
     """
-    services.discovery.ask(SetList(hosts, UNUSED_HOST_ADDRESSES))
-    over_s = min(MAX_ZONE_RETURN_S, 3.5 * context.options.window_s)
+    services.discovery.ask(ReplaceHostList(hosts, UNUSED_HOST_ADDRESSES))
+    duration_s = min(MAX_ZONE_RETURN_S, 3.5 * context.options.window_s)
     zone_return = {
         "one_list": ChangeZone(ZONE_FRACTION, lost=False),
         "single_changes": ChangeZone(ZONE_FRACTION, lost=False, as_one_version=False, watchers=1),
-        "stream_of_changes": ChangeZone(ZONE_FRACTION, lost=False, as_one_version=False, duration_s=over_s),
+        "stream_of_changes": ChangeZone(
+            ZONE_FRACTION, lost=False, as_one_version=False, duration_s=duration_s
+        ),
     }[change_mode]
     with context.worker(partial(HollowRole, 1, services.addresses, context.options.seed)) as worker:
-        worker.ask(Join((0,)))
+        worker.ask(StartGateways((0,)))
         idle_cpu = measure_idle_cpu(worker, context.settle_s)
         services.discovery.ask(ChangeZone(ZONE_FRACTION, lost=True))
         time.sleep(context.settle_s)
@@ -147,7 +152,7 @@
         stalls: Stalls = worker.ask(WatchStalls(False))
     note = f"{round(hosts * ZONE_FRACTION)} of {hosts} hosts return cold in {changed.versions} versions"
     if zone_return.duration_s:
-        note += f" over {over_s:g} s"
+        note += f" over {duration_s:g} s"
     name = f"zone back, {change_mode.replace('_', ' ')}"
     return [
         Fault(name, "gateway_cpu", "ms", max(0.0, cpu_s) * 1000, note),
--- a/rainturn/emulator/counter_series.py
+++ b/rainturn/emulator/counter_series.py
@@ -12,7 +12,7 @@
 from rainturn.emulator.lab import RunContext
 from rainturn.emulator.measurements import Fault, Quantity, Slope
 from rainturn.emulator.slopes import measure_slopes
-from rainturn.emulator.virtual_fleet import VirtualPlan
+from rainturn.emulator.virtual_fleet import VirtualFleetOptions
 from rainturn.emulator.virtual_series import (
     PartitionDurations,
     measure_counter_traffic,
@@ -75,16 +75,18 @@
     seconds: float,
 ) -> list[Slope]:
     """Measure the counter's calls and bytes against the requests/s of a gateway, and against tenants."""
-    plan = VirtualPlan(GATEWAYS, 1, HOSTS, held_out_tenants, 1.0, context.options.seed)
+    fleet_options = VirtualFleetOptions(GATEWAYS, 1, HOSTS, held_out_tenants, 1.0, context.options.seed)
     max_running = 2 if context.options.quick else 4
 
     def start_at_rate(rate: int) -> Any:
         return context.call_in_process(
-            measure_counter_traffic, replace(plan, requests_per_second=float(rate * GATEWAYS)), seconds
+            measure_counter_traffic,
+            replace(fleet_options, requests_per_second=float(rate * GATEWAYS)),
+            seconds,
         )
 
     def start_with_tenants(count: int) -> Any:
-        full_rate = replace(plan, tenants=count, requests_per_second=float(held_out_rate * GATEWAYS))
+        full_rate = replace(fleet_options, tenants=count, requests_per_second=float(held_out_rate * GATEWAYS))
         return context.call_in_process(measure_counter_traffic, full_rate, seconds)
 
     slopes = measure_slopes(
@@ -106,20 +108,26 @@
 
 def run_customers_series(context: RunContext, sizes: Sequence[int], held_out_size: int) -> list[Slope]:
     """Measure memory against the number of customers that a gateway holds at once."""
-    plan = VirtualPlan(1, 1, HOSTS, 1, 1.0, context.options.seed)
+    fleet_options = VirtualFleetOptions(1, 1, HOSTS, 1, 1.0, context.options.seed)
     max_running = 2 if context.options.quick else 4
     measure = measure_concurrently(
         context,
         sizes,
         max_running,
-        lambda count: context.call_in_process(measure_customers_memory, replace(plan, tenants=count)),
+        lambda count: context.call_in_process(
+            measure_customers_memory, replace(fleet_options, tenants=count)
+        ),
     )
     return measure_slopes((CUSTOMERS_MEMORY, BYTES_PER_CUSTOMER), sizes, held_out_size, measure, context.log)
 
 
-def run_partition(context: RunContext, plan: VirtualPlan, durations: PartitionDurations) -> list[Fault]:
+def run_partition(
+    context: RunContext, fleet_options: VirtualFleetOptions, durations: PartitionDurations
+) -> list[Fault]:
     """Measure the fleet while the counter is cut off from one region."""
-    faults: list[Fault] = context.wait_for_result(context.call_in_process(measure_partition, plan, durations))
+    faults: list[Fault] = context.wait_for_result(
+        context.call_in_process(measure_partition, fleet_options, durations)
+    )
     for fault in faults:
         context.log(f"  {fault.name}: {fault.quantity} {fault.value:.4g} {fault.unit}")
     context.log(f"  ({faults[0].note})")
--- a/rainturn/emulator/fleet.py
+++ b/rainturn/emulator/fleet.py
@@ -9,15 +9,15 @@
 
 from rainturn.emulator.commands import (
     AwaitVersion,
+    GatewaysStarted,
+    GetReading,
     HollowReading,
-    Join,
-    Joined,
-    Leave,
     ListChange,
     Listen,
-    Read,
     ServiceReading,
+    StartGateways,
     StartLoad,
+    StopGateways,
     StopLoad,
 )
 from rainturn.emulator.gateway_roles import HollowRole
@@ -28,7 +28,7 @@
 from rainturn.emulator.workers import Worker, ask_all
 
 HOLLOW = "hollow"
-JOIN_TIMEOUT_S = 120.0
+START_TIMEOUT_S = 120.0
 
 
 @dataclass(frozen=True)
@@ -82,7 +82,7 @@
             shares.setdefault(number % len(self.hollow), []).append(number)
         return [(self.hollow[index], tuple(share)) for index, share in shares.items()]
 
-    def join(self, numbers: Iterable[int], timeout_s: float = JOIN_TIMEOUT_S) -> Joined:
+    def start_gateways(self, numbers: Iterable[int], timeout_s: float = START_TIMEOUT_S) -> GatewaysStarted:
         """Start gateways at once, and wait until all have a host list or the timeout passes.
 
         The result holds the longest time and the processor time of all processes, in s, and the number of
@@ -90,20 +90,20 @@
         """
         shares = self._by_worker(numbers)
         for worker, share in shares:
-            worker.send(Join(share, timeout_s))
+            worker.send(StartGateways(share, timeout_s))
             self.numbers += share
-        answers: list[Joined] = [worker.receive(timeout_s + 20) for worker, _ in shares]
-        return Joined(
+        answers: list[GatewaysStarted] = [worker.receive(timeout_s + 20) for worker, _ in shares]
+        return GatewaysStarted(
             max(answer.took_s for answer in answers),
             sum(answer.cpu_s for answer in answers),
             sum(answer.without_list for answer in answers),
         )
 
-    def leave(self, numbers: Iterable[int]) -> None:
+    def stop_gateways(self, numbers: Iterable[int]) -> None:
         """Stop gateways."""
         shares = self._by_worker(numbers)
         for worker, share in shares:
-            worker.send(Leave(share))
+            worker.send(StopGateways(share))
         for worker, share in shares:
             worker.receive()
             self.numbers = [number for number in self.numbers if number not in share]
@@ -131,9 +131,9 @@
 
     def read(self) -> FleetReading:
         """Return the totals so far."""
-        discovery: ServiceReading = self.discovery.ask(Read())
-        counter: ServiceReading = self.counter.ask(Read())
-        hollow: list[HollowReading] = ask_all(self.hollow, Read())
+        discovery: ServiceReading = self.discovery.ask(GetReading())
+        counter: ServiceReading = self.counter.ask(GetReading())
+        hollow: list[HollowReading] = ask_all(self.hollow, GetReading())
         return FleetReading(
             time.monotonic(),
             discovery.cpu_s,
--- a/rainturn/emulator/fleet_faults.py
+++ b/rainturn/emulator/fleet_faults.py
@@ -12,7 +12,7 @@
 from rainturn.emulator.lab import RunContext
 from rainturn.emulator.measurements import Fault
 
-RESTARTED_FRACTION = 0.7  # of the gateways restart at once, as on the worst day of the standing test
+RESTARTED_FRACTION = 0.7  # of the gateways restart at once, as in the worst scenario of the acceptance test
 SLOW_ANSWER_MS = 5.0  # for each answer of a slow discovery service; it answers one call after another
 TIMEOUT_S = 30.0
 
@@ -34,7 +34,7 @@
     ]
 
 
-def _in_force_s(times_s: Sequence[float], gateways: int) -> float:
+def _in_force_everywhere_s(times_s: Sequence[float], gateways: int) -> float:
     return times_s[-1] if len(times_s) == gateways and times_s else TIMEOUT_S
 
 
@@ -44,16 +44,17 @@
     gateways = sorted(fleet.numbers)
     lost = gateways[: max(1, round(ZONE_FRACTION * len(gateways)))]
     before = fleet.read()
-    fleet.leave(lost)
+    fleet.stop_gateways(lost)
     zone_loss: ListChange = fleet.discovery.ask(ChangeZone(ZONE_FRACTION, lost=True))
-    in_force_s = _in_force_s(fleet.distribution_times(zone_loss, TIMEOUT_S), len(fleet.numbers))
+    in_force_s = _in_force_everywhere_s(fleet.distribution_times(zone_loss, TIMEOUT_S), len(fleet.numbers))
     note = f"{len(lost)} of {len(gateways)} gateways and a twelfth of the hosts, one version"
     faults = _fault_figures(fleet, before, "zone lost", note, in_force_s)
     before = fleet.read()
     zone_return: ListChange = fleet.discovery.ask(ChangeZone(ZONE_FRACTION, lost=False))
-    joined = fleet.join(lost)
+    started = fleet.start_gateways(lost)
     in_force_s = max(
-        joined.took_s, _in_force_s(fleet.distribution_times(zone_return, TIMEOUT_S), len(fleet.numbers))
+        started.took_s,
+        _in_force_everywhere_s(fleet.distribution_times(zone_return, TIMEOUT_S), len(fleet.numbers)),
     )
     return faults + _fault_figures(fleet, before, "zone back", note, in_force_s)
 
@@ -64,13 +65,13 @@
     gateways = sorted(fleet.numbers)
     restarted = gateways[: round(RESTARTED_FRACTION * len(gateways))]
     before = fleet.read()
-    fleet.leave(restarted)
-    joined = fleet.join(restarted, TIMEOUT_S)
+    fleet.stop_gateways(restarted)
+    started = fleet.start_gateways(restarted, TIMEOUT_S)
     note = f"{len(restarted)} of {len(gateways)} gateways start again at once"
     without_list = Fault(
-        name, "without_list", "gateways", float(joined.without_list), f"after {TIMEOUT_S:g} s"
+        name, "without_list", "gateways", float(started.without_list), f"after {TIMEOUT_S:g} s"
     )
-    return [without_list, *_fault_figures(fleet, before, name, note, joined.took_s)]
+    return [without_list, *_fault_figures(fleet, before, name, note, started.took_s)]
 
 
 def measure_slow_discovery(context: RunContext, fleet: Fleet) -> list[Fault]:
@@ -81,7 +82,7 @@
         time.sleep(context.settle_s)
         before = fleet.read()
         changed: ListChange = fleet.discovery.ask(ChangeHosts(1, interval_s=0.001))
-        in_force_s = _in_force_s(fleet.distribution_times(changed, TIMEOUT_S), len(fleet.numbers))
+        in_force_s = _in_force_everywhere_s(fleet.distribution_times(changed, TIMEOUT_S), len(fleet.numbers))
         note = f"{SLOW_ANSWER_MS:g} ms for each answer, {len(fleet.numbers)} gateways"
         faults = _fault_figures(fleet, before, "slow list service, one change", note, in_force_s)
         faults += measure_restarts(context, fleet, "slow list service, restart storm")
--- a/rainturn/emulator/fleet_series.py
+++ b/rainturn/emulator/fleet_series.py
@@ -6,7 +6,7 @@
 from collections.abc import Mapping
 from dataclasses import dataclass
 
-from rainturn.emulator.commands import ChangeHosts, ListChange, SetList
+from rainturn.emulator.commands import ChangeHosts, ListChange, ReplaceHostList
 from rainturn.emulator.control_series import UNUSED_HOST_ADDRESSES
 from rainturn.emulator.fleet import Fleet
 from rainturn.emulator.lab import RunContext
@@ -62,9 +62,9 @@
     """Grow the fleet to `gateways`, and measure it idle, with changes of the host list, and with requests."""
     context.check_limits()
     before = fleet.read()
-    fleet.join(range(len(fleet.numbers), gateways))
+    fleet.start_gateways(range(len(fleet.numbers), gateways))
     start_traffic = fleet.since(before).discovery
-    joined = gateways - (len(fleet.numbers) - start_traffic.whole_lists)
+    started_count = gateways - (len(fleet.numbers) - start_traffic.whole_lists)
     time.sleep(context.settle_s)
     idle = fleet.measure(plan.seconds)
     idle_calls = idle.discovery.messages_in / idle.seconds
@@ -94,7 +94,9 @@
         )
         / plan.changes,
         CHANGE_CPU.name: 1000 * (changing.discovery_cpu_s - idle_cpu * changing.seconds) / plan.changes,
-        START_BYTES.name: gateways * (start_traffic.bytes_in + start_traffic.bytes_out) / max(1, joined),
+        START_BYTES.name: gateways
+        * (start_traffic.bytes_in + start_traffic.bytes_out)
+        / max(1, started_count),
         GATEWAY_CALLS.name: idle_calls / gateways,
         GATEWAY_BYTES.name: idle_bytes / gateways,
         COUNTER_CALLS.name: counter_traffic.messages_in / loaded.seconds,
@@ -108,7 +110,7 @@
     context: RunContext, fleet: Fleet, plan: FleetPlan, sizes: tuple[int, ...]
 ) -> list[Slope]:
     """Measure the slopes of discovery and the counter; afterwards the fleet has its largest size."""
-    fleet.discovery.ask(SetList(plan.hosts, UNUSED_HOST_ADDRESSES))
+    fleet.discovery.ask(ReplaceHostList(plan.hosts, UNUSED_HOST_ADDRESSES))
     return measure_slopes(
         QUANTITIES,
         sizes,
--- a/rainturn/emulator/gateway_roles.py
+++ b/rainturn/emulator/gateway_roles.py
@@ -11,19 +11,19 @@
 
 from rainturn.emulator.client_load import GatewayClients, answers_ping
 from rainturn.emulator.commands import (
-    AwaitReady,
     AwaitVersion,
     ClientReading,
+    GatewaysStarted,
     HollowReading,
-    Join,
-    Joined,
-    Leave,
+    StartGateways,
     StartLoad,
+    StopGateways,
     StopLoad,
+    TargetGateways,
     WatchStalls,
 )
 from rainturn.emulator.hollow import Addresses, HollowGateway
-from rainturn.emulator.load import OpenLoop
+from rainturn.emulator.load import OpenLoopLoad
 from rainturn.emulator.stalls import StallWatch
 from rainturn.emulator.workload import DrawnRequest, Tenants
 
@@ -47,17 +47,17 @@
         self.fleet_size, self.addresses, self.seed = fleet_size, addresses, seed
         self.gateways: dict[int, HollowGateway] = {}
         self.requests = 0
-        self.load: OpenLoop | None = None
+        self.load: OpenLoopLoad | None = None
         self.stalls = StallWatch()
 
     async def start(self) -> None:
         """Do nothing: no gateway exists yet."""
 
     async def handle(self, command: Any) -> Any:
-        """Carry out a command and return its answer; any other command is a `Read`."""
-        if isinstance(command, Join):
-            return await self._join(command)
-        if isinstance(command, Leave):
+        """Carry out a command and return its answer; any other command is a `GetReading`."""
+        if isinstance(command, StartGateways):
+            return await self._start_gateways(command)
+        if isinstance(command, StopGateways):
             for number in command.numbers:
                 await self.gateways.pop(number).stop()
             return None
@@ -77,7 +77,7 @@
                 outcomes[outcome] = outcomes.get(outcome, 0) + count
         return HollowReading(time.process_time(), self.requests, outcomes, peak_memory_mb())
 
-    async def _join(self, command: Join) -> Joined:
+    async def _start_gateways(self, command: StartGateways) -> GatewaysStarted:
         started_at, cpu_at_start = time.monotonic(), time.process_time()
         for number in command.numbers:
             seed = self.seed * 1_000_003 + number
@@ -88,10 +88,12 @@
         while waiting and time.monotonic() - started_at < command.timeout_s:
             waiting = {number for number in waiting if not self.gateways[number].version}
             await asyncio.sleep(POLL_INTERVAL_S if waiting else 0)
-        joined = Joined(time.monotonic() - started_at, time.process_time() - cpu_at_start, len(waiting))
+        started = GatewaysStarted(
+            time.monotonic() - started_at, time.process_time() - cpu_at_start, len(waiting)
+        )
         gc.collect()
         gc.freeze()  # a real gateway does the same once it has started
-        return joined
+        return started
 
     async def _await_version(self, command: AwaitVersion) -> list[float]:
         waiting = set(self.gateways)
@@ -107,7 +109,7 @@
     def _start_load(self, command: StartLoad) -> None:
         tenants = Tenants(command.tenants, command.gateways, command.requests_per_second, command.seed)
         submit = self._build_only if command.dry_run else self._submit
-        self.load = OpenLoop(tenants, command.requests_per_second, command.seed + self.seed, submit)
+        self.load = OpenLoopLoad(tenants, command.requests_per_second, command.seed + self.seed, submit)
         self.load.start()
 
     def _submit(self, drawn: DrawnRequest) -> None:
@@ -138,18 +140,20 @@
         self.seed = seed
         self.clients_by_gateway: dict[int, GatewayClients] = {}
         self.requests = 0
-        self.load: OpenLoop | None = None
+        self.load: OpenLoopLoad | None = None
 
     async def start(self) -> None:
         """Do nothing: no gateway exists yet."""
 
     async def handle(self, command: Any) -> Any:
-        """Carry out a command and return its answer; any other command is a `Read`."""
-        if isinstance(command, AwaitReady):
-            return await self._await_ready(command)
+        """Carry out a command and return its answer; any other command is a `GetReading`."""
+        if isinstance(command, TargetGateways):
+            return await self._target_gateways(command)
         if isinstance(command, StartLoad):
             tenants = Tenants(command.tenants, command.gateways, command.requests_per_second, command.seed)
-            self.load = OpenLoop(tenants, command.requests_per_second, command.seed + self.seed, self._submit)
+            self.load = OpenLoopLoad(
+                tenants, command.requests_per_second, command.seed + self.seed, self._submit
+            )
             return self.load.start()
         if isinstance(command, StopLoad):
             if self.load is not None:
@@ -157,7 +161,7 @@
             return None
         return self._reading()
 
-    async def _await_ready(self, command: AwaitReady) -> bool:
+    async def _target_gateways(self, command: TargetGateways) -> bool:
         end_at = time.monotonic() + command.timeout_s
         waiting = dict(command.addresses)
         while waiting and time.monotonic() < end_at:
--- a/rainturn/emulator/lab.py
+++ b/rainturn/emulator/lab.py
@@ -1,4 +1,4 @@
-"""The context of one scale run: its options, its limits of time and memory, and the processes it starts."""
+"""The context of one scale run: its options, its limits, and the processes that it starts."""
 
 from __future__ import annotations
 
--- a/rainturn/emulator/load.py
+++ b/rainturn/emulator/load.py
@@ -12,7 +12,7 @@
 TICK_S = 0.005  # interval at which due requests are submitted
 
 
-class OpenLoop:
+class OpenLoopLoad:
     """Draws requests for the whole fleet and calls `submit` with each.
 
     Each process that runs a part of the fleet draws for the whole fleet, and its `submit` ignores the
--- a/rainturn/emulator/quota_ledger.py
+++ b/rainturn/emulator/quota_ledger.py
@@ -10,9 +10,10 @@
 
 @dataclass
 class Units:
-    """Admitted units, which reached a host, those of them beyond quotas, and refused units.
+    """Units of attempts and refused requests.
 
-    `refused_within_quota` counts the refused units that the customer had left of its quota.
+    `admitted` counts the units of attempts that reached a host, `over_quota` those of them beyond quotas.
+    `refused` counts the units of refused requests, `refused_within_quota` those that the customer had left.
     """
 
     admitted: float = 0.0
--- a/rainturn/emulator/request_series.py
+++ b/rainturn/emulator/request_series.py
@@ -7,14 +7,14 @@
 from functools import partial
 
 from rainturn.emulator.commands import (
-    AwaitReady,
     ChangeHosts,
     ClientReading,
+    GetReading,
     Listen,
-    Read,
-    SetList,
+    ReplaceHostList,
     StartLoad,
     StopLoad,
+    TargetGateways,
 )
 from rainturn.emulator.gateway_roles import ClientRole
 from rainturn.emulator.lab import RunContext
@@ -69,21 +69,21 @@
         self.host_addresses: tuple[str, ...] = self.host.ready()
         self.addresses = (self.discovery.ask(Listen(LABEL)), self.counter.ask(Listen(LABEL)))
 
-    def load(self) -> StartLoad:
+    def load_command(self) -> StartLoad:
         """Return the command that starts the load of one gateway."""
         options = self.context.options
         return StartLoad(self.requests_per_second, min(options.tenants, MAX_TENANTS), 1, options.seed)
 
     def read(self) -> ClientReading:
         """Return the figures of the clients since the last reading."""
-        reading: ClientReading = self.client.ask(Read())
+        reading: ClientReading = self.client.ask(GetReading())
         return reading
 
     def measure_direct(self, seconds: float) -> ClientReading:
         """Measure the same load directly at a host, without a gateway."""
         host, _, port = self.host_addresses[0].rpartition(":")
-        self.client.ask(AwaitReady({0: (host, int(port))}))
-        self.client.ask(self.load())
+        self.client.ask(TargetGateways({0: (host, int(port))}))
+        self.client.ask(self.load_command())
         time.sleep(self.context.settle_s)
         self.read()
         time.sleep(seconds)
@@ -100,15 +100,15 @@
     """Measure one real gateway with `hosts` hosts: idle, with requests, and with requests and changes."""
     context, seconds = bench.context, bench.context.options.window_s
     context.check_limits()
-    bench.discovery.ask(SetList(hosts, bench.host_addresses))
+    bench.discovery.ask(ReplaceHostList(hosts, bench.host_addresses))
     direct = bench.measure_direct(seconds)
     gateway = context.start_gateway(RealGateway(0, 1, *bench.addresses, seed=context.options.seed))
     try:
-        if not bench.client.ask(AwaitReady({0: gateway.address})):
+        if not bench.client.ask(TargetGateways({0: gateway.address})):
             raise WorkerFailed("a real gateway was not ready: " + gateway.log()[-500:])
         time.sleep(context.settle_s)
         idle_cpu = _measure_idle_cpu(gateway, seconds / 2)
-        bench.client.ask(bench.load())
+        bench.client.ask(bench.load_command())
         time.sleep(context.settle_s)
         before, started_at, cpu_s = bench.read(), time.monotonic(), gateway.resource_usage().cpu_s
         time.sleep(seconds)
@@ -118,7 +118,7 @@
         bench.discovery.ask(ChangeHosts(max(1, round(seconds / interval_s)), interval_s=interval_s))
         changing = bench.read()
         bench.client.ask(StopLoad())
-        held_mb = gateway.resource_usage().memory_mb
+        memory_mb = gateway.resource_usage().memory_mb
     finally:
         context.stop(gateway)
     return {
@@ -130,7 +130,7 @@
         CHANGING_P50.name: changing.added_p50_ms,
         CHANGING_P99.name: changing.added_p99_ms,
         CHANGING_MAX.name: changing.added_max_ms,
-        MEMORY.name: held_mb,
+        MEMORY.name: memory_mb,
     }
 
 
--- a/rainturn/emulator/scale.py
+++ b/rainturn/emulator/scale.py
@@ -20,7 +20,7 @@
 from rainturn.emulator.real_gateway import described_command
 from rainturn.emulator.report import revision
 from rainturn.emulator.request_series import run_request_series
-from rainturn.emulator.virtual_fleet import VirtualPlan
+from rainturn.emulator.virtual_fleet import VirtualFleetOptions
 from rainturn.emulator.virtual_series import PartitionDurations
 from rainturn.emulator.workers import WorkerFailed
 
@@ -124,10 +124,16 @@
     """Measure a fleet while the counter is cut off from one region."""
     seed = context.options.seed
     if context.options.quick:
-        plan, durations = VirtualPlan(8, 4, 50, 200, 160.0, seed), PartitionDurations(4, 8, 3, 4)
+        fleet_options, durations = (
+            VirtualFleetOptions(8, 4, 50, 200, 160.0, seed),
+            PartitionDurations(4, 8, 3, 4),
+        )
     else:
-        plan, durations = VirtualPlan(16, 4, 50, 400, 960.0, seed), PartitionDurations(30, 120, 10, 30)
-    result.faults += run_partition(context, plan, durations)
+        fleet_options, durations = (
+            VirtualFleetOptions(16, 4, 50, 400, 960.0, seed),
+            PartitionDurations(30, 120, 10, 30),
+        )
+    result.faults += run_partition(context, fleet_options, durations)
 
 
 PARTS = (
--- a/rainturn/emulator/service_roles.py
+++ b/rainturn/emulator/service_roles.py
@@ -13,9 +13,9 @@
     ChangeZone,
     ListChange,
     Listen,
+    ReplaceHostList,
     ServiceReading,
     SetAnswerTime,
-    SetList,
 )
 from rainturn.emulator.counter_service import CounterService
 from rainturn.emulator.discovery_service import TERMINATED, DiscoveryService
@@ -36,11 +36,11 @@
         """Do nothing: the service listens once it gets `Listen`."""
 
     async def handle(self, command: Any) -> Any:
-        """Carry out a command and return its answer; any other command is a `Read`."""
+        """Carry out a command and return its answer; any other command is a `GetReading`."""
         service = self.service
         if isinstance(command, Listen):
             return await service.listen(command.label)
-        if isinstance(command, SetList):
+        if isinstance(command, ReplaceHostList):
             entries = make_host_entries(command.hosts, command.addresses)
             service.replace(entries)
             return service.directory.version
@@ -55,7 +55,7 @@
         return ServiceReading(time.process_time(), traffic, len(service.directory.entries))
 
     async def _change_hosts(self, command: ChangeHosts) -> ListChange:
-        """Let a random host drain, and return it to service with the next change, in turn."""
+        """Drain a random host with one change and return it to service with the next, and so on."""
         directory, started_at = self.service.directory, time.monotonic()
         drained: str | None = None
         for _ in range(command.count):
@@ -70,6 +70,7 @@
         return ListChange(directory.version, command.count, started_at)
 
     async def _wait_before_change(self, watchers: int, pause_s: float) -> None:
+        """Wait until `watchers` callers have the current version; if `watchers` is 0, wait for `pause_s`."""
         if watchers:
             await self.service.wait_for_watchers(watchers)
         else:
@@ -115,7 +116,7 @@
         """Do nothing: the service listens once it gets `Listen`."""
 
     async def handle(self, command: Any) -> Any:
-        """Carry out a command and return its answer; any other command is a `Read`."""
+        """Carry out a command and return its answer; any other command is a `GetReading`."""
         if isinstance(command, Listen):
             return await self.service.listen(command.label)
         traffic = {label: traffic.copy() for label, traffic in self.service.traffic.items()}
@@ -137,7 +138,7 @@
         return await self.service.listen(self.port_count)
 
     async def handle(self, command: Any) -> Any:
-        """Return a reading; the only command is `Read`."""
+        """Return a reading; the only command is `GetReading`."""
         return ServiceReading(time.process_time(), {"hosts": self.service.traffic.copy()}, 0)
 
     async def stop(self) -> None:
--- a/rainturn/emulator/stalls.py
+++ b/rainturn/emulator/stalls.py
@@ -23,7 +23,7 @@
 
 
 class StallWatch:
-    """Sets a timer on the loop again and again, and records the longest time between two of its ticks.
+    """Restarts a short timer on the loop and records the longest time between two of its ticks.
 
     The ticks use about 1% of a core, so the watch runs only while stalls are measured.
     """
--- a/rainturn/emulator/virtual_fleet.py
+++ b/rainturn/emulator/virtual_fleet.py
@@ -10,18 +10,18 @@
 from rainturn.emulator.counter_service import CounterService
 from rainturn.emulator.discovery_service import DiscoveryService
 from rainturn.emulator.hollow import Addresses, HollowGateway
-from rainturn.emulator.load import OpenLoop
+from rainturn.emulator.load import OpenLoopLoad
 from rainturn.emulator.quota_ledger import QuotaLedger
 from rainturn.emulator.traffic import Traffic
 from rainturn.emulator.virtual_time import VirtualClock, VirtualLoop
 from rainturn.emulator.workload import DrawnRequest, Tenants, make_host_entries
 from rainturn.node.gateway import Request
 
-UNUSED_ADDRESSES = ("127.0.0.1:9",)  # no connection is opened to it
+UNUSED_HOST_ADDRESSES = ("127.0.0.1:9",)  # no connection is opened to it
 
 
 @dataclass(frozen=True)
-class VirtualPlan:
+class VirtualFleetOptions:
     """The sizes of a fleet on a virtual clock, its requests per second over all gateways, and the seed."""
 
     gateways: int
@@ -38,30 +38,32 @@
     Each region reaches the one counter at an address of its own, so that it can be cut off alone.
     """
 
-    def __init__(self, loop: VirtualLoop, plan: VirtualPlan) -> None:
-        self.loop, self.plan = loop, plan
+    def __init__(self, loop: VirtualLoop, options: VirtualFleetOptions) -> None:
+        self.loop, self.options = loop, options
         self.ledger = QuotaLedger()
-        self.discovery = DiscoveryService(make_host_entries(plan.hosts, UNUSED_ADDRESSES))
+        self.discovery = DiscoveryService(make_host_entries(options.hosts, UNUSED_HOST_ADDRESSES))
         self.counter = CounterService()
         self.clock = VirtualClock(loop)
         loop.network.listen(("discovery", 1), partial(self.discovery.accept, "all"))
-        self.counter_addresses = [("counter", region) for region in range(plan.regions)]
+        self.counter_addresses = [("counter", region) for region in range(options.regions)]
         for region, address in enumerate(self.counter_addresses):
             loop.network.listen(address, partial(self.counter.accept, f"region{region}"))
-        self.gateways = [self._make_gateway(number) for number in range(plan.gateways)]
-        self.tenants = Tenants(plan.tenants, plan.gateways, plan.requests_per_second, plan.seed)
-        self.load = OpenLoop(self.tenants, plan.requests_per_second, plan.seed, self._submit, loop.time)
+        self.gateways = [self._make_gateway(number) for number in range(options.gateways)]
+        self.tenants = Tenants(options.tenants, options.gateways, options.requests_per_second, options.seed)
+        self.load = OpenLoopLoad(
+            self.tenants, options.requests_per_second, options.seed, self._submit, loop.time
+        )
         self.requests = 0
 
     def region_of(self, number: int) -> int:
         """Return the region of a gateway."""
-        return number % self.plan.regions
+        return number % self.options.regions
 
     def _make_gateway(self, number: int) -> HollowGateway:
         region = self.region_of(number)
         addresses = Addresses(("discovery", 1), self.counter_addresses[region])
         gateway = HollowGateway(
-            number, self.plan.gateways, addresses, self.plan.seed * 1000 + number, self.clock
+            number, self.options.gateways, addresses, self.options.seed * 1000 + number, self.clock
         )
         gateway.hosts.on_first_attempt = partial(self._record, self.ledger.record_admitted, f"region{region}")
         gateway.client.on_refusal = partial(self._record, self.ledger.record_refused, f"region{region}")
--- a/rainturn/emulator/virtual_series.py
+++ b/rainturn/emulator/virtual_series.py
@@ -16,7 +16,7 @@
 
 from rainturn.emulator.measurements import Fault
 from rainturn.emulator.quota_ledger import Units
-from rainturn.emulator.virtual_fleet import VirtualFleet, VirtualPlan
+from rainturn.emulator.virtual_fleet import VirtualFleet, VirtualFleetOptions
 from rainturn.emulator.virtual_time import VirtualLoop, run_virtual
 from rainturn.emulator.workload import DrawnRequest, Tenant
 
@@ -33,14 +33,14 @@
     return float(psutil.Process().memory_full_info().uss) / MB
 
 
-def measure_counter_traffic(plan: VirtualPlan, seconds: float) -> Mapping[str, float]:
+def measure_counter_traffic(options: VirtualFleetOptions, seconds: float) -> Mapping[str, float]:
     """Measure the counter's calls and payload bytes per request and per gateway, after a warm-up.
 
     `customers_memory` is the memory that each gateway has gained since before the load began, in MB.
     """
 
     async def measure(loop: VirtualLoop) -> Mapping[str, float]:
-        fleet = VirtualFleet(loop, plan)
+        fleet = VirtualFleet(loop, options)
         await fleet.start()
         memory_mb = own_memory_mb()
         fleet.load.start()
@@ -54,35 +54,35 @@
         return {
             "calls_per_request": traffic.messages_in / max(1, requests),
             "bytes_per_request": payload_bytes / max(1, requests),
-            "calls_per_gateway": traffic.messages_in / seconds / plan.gateways,
-            "bytes_per_gateway": payload_bytes / seconds / plan.gateways,
-            "customers_memory": memory_mb / plan.gateways,
+            "calls_per_gateway": traffic.messages_in / seconds / options.gateways,
+            "bytes_per_gateway": payload_bytes / seconds / options.gateways,
+            "customers_memory": memory_mb / options.gateways,
         }
 
     figures: Mapping[str, float] = run_virtual(measure)
     return figures
 
 
-def measure_customers_memory(plan: VirtualPlan) -> Mapping[str, float]:
-    """Measure one gateway's memory for `plan.tenants` customers with one request each.
+def measure_customers_memory(options: VirtualFleetOptions) -> Mapping[str, float]:
+    """Measure one gateway's memory for `options.tenants` customers with one request each.
 
     The figures are in MB for all customers and in bytes per customer. The new process may reuse some tenths
     of a MB that it freed earlier, which hides part of the memory of a small number of customers.
     """
 
     async def measure(loop: VirtualLoop) -> Mapping[str, float]:
-        fleet = VirtualFleet(loop, replace(plan, tenants=1))
+        fleet = VirtualFleet(loop, replace(options, tenants=1))
         await fleet.start()
         gateway, memory_mb, started_at = fleet.gateways[0], own_memory_mb(), loop.time()
-        for number in range(plan.tenants):
-            arrives_at = started_at + ARRIVAL_PERIOD_S * number / plan.tenants
+        for number in range(options.tenants):
+            arrives_at = started_at + ARRIVAL_PERIOD_S * number / options.tenants
             if arrives_at > loop.time():
                 await asyncio.sleep(arrives_at - loop.time())
             gateway.submit(DrawnRequest(Tenant((1 << 30) + number, 3, 1, 0), 0, 0, 1.0))
         await asyncio.sleep(SETTLE_S)
         memory_mb = own_memory_mb() - memory_mb
         await fleet.stop()
-        return {"customers_memory": memory_mb, "bytes_per_customer": memory_mb * MB / plan.tenants}
+        return {"customers_memory": memory_mb, "bytes_per_customer": memory_mb * MB / options.tenants}
 
     figures: Mapping[str, float] = run_virtual(measure)
     return figures
@@ -108,14 +108,14 @@
     return [Fault(name, quantity, unit, value, note) for quantity, unit, value in figures]
 
 
-def measure_partition(plan: VirtualPlan, durations: PartitionDurations) -> list[Fault]:
+def measure_partition(options: VirtualFleetOptions, durations: PartitionDurations) -> list[Fault]:
     """Cut the counter off from region 0 for a while, and measure the units admitted beyond quotas.
 
     Each phase has figures for the region that is cut off, and for the other regions together.
     """
 
     async def measure(loop: VirtualLoop) -> dict[tuple[str, str], Units]:
-        fleet = VirtualFleet(loop, plan)
+        fleet = VirtualFleet(loop, options)
         ledger, address = fleet.ledger, fleet.counter_addresses[0]
         ledger.phase = "warm"
         await fleet.start()
@@ -143,7 +143,8 @@
         WARMUP_S + durations.before_s + durations.cut_off_s + durations.just_after_s + durations.after_s
     )
     note = (
-        f"{plan.gateways} gateways in {plan.regions} regions, {plan.requests_per_second:g} requests/s, "
+        f"{options.gateways} gateways in {options.regions} regions, "
+        f"{options.requests_per_second:g} requests/s, "
         f"cut off for {durations.cut_off_s:g} s; virtual clock, {virtual_s:g} s in {elapsed_s:.1f} s: "
         f"compressed {virtual_s / elapsed_s:.1f} times"
     )
--- a/rainturn/emulator/workers.py
+++ b/rainturn/emulator/workers.py
@@ -22,7 +22,7 @@
 
 
 class Role(Protocol):
-    """The work of a process. `start` returns data that other processes need."""
+    """What a process runs: it starts, answers commands, and stops."""
 
     async def start(self) -> Any:
         """Start the role and return data that other processes need, or None."""
--- a/rainturn/emulator/workload.py
+++ b/rainturn/emulator/workload.py
@@ -16,11 +16,12 @@
 # A tenant's request volume is proportional to its rank to the power of minus this: of 100,000 tenants the
 # largest has 2% of all requests and the median one 4 in a million.
 ZIPF_EXPONENT = 0.8
-# Least and largest fraction of the gateways through which a tenant's requests come, as in the standing test.
+# Least and largest fraction of the gateways through which a tenant's requests come, as in the acceptance
+# test, which runs a whole fleet with customers, hosts and injected faults.
 SPREAD_FRACTIONS = (0.5, 1.0)
 MAX_UNITS = 4.0  # of one request
 QUOTA_HEADROOM = 1.5  # least ratio of the rate of a tenant's plan to the tenant's mean use
-HEAVY_TENANT_FRACTION = 0.1  # of the tenants exceed their quota, as in the standing test
+HEAVY_TENANT_FRACTION = 0.1  # of the tenants exceed their quota, as in the acceptance test
 HEAVY_MIN_OVERUSE = 2.0  # least ratio of their use to their quota; the ratio reaches four times this value
 # A host's service time is the minimum plus an exponentially distributed time.
 SERVICE_TIME_MEAN_MS = 20.0
--- a/tests/soak.py
+++ b/tests/soak.py
@@ -1,8 +1,11 @@
-"""Seeded soak test in "days": a gateway process with misbehaving hosts, clients, discovery and counter.
+"""Soak test: a real gateway process with misbehaving hosts and clients, and with discovery that moves.
 
-On each day clients use their open connections until SIGKILL, which comes at the earliest moment that the
-protocol permits. Signals come in series, and on some days idle connections use up the descriptors. The
-answers and attempts that clients and hosts record are checked against the rules of the protocol only.
+A seed determines the random choices of a run, which starts two gateway processes in turn at one address.
+Clients use their open connections until SIGKILL, which comes at the earliest moment that the protocol
+permits. Signals come in series, and in some runs idle connections use up the descriptors. The answers and
+attempts that clients and hosts record are checked against the rules of the protocol only.
+
+The command line performs many runs, which its flags and the last line of its output call days:
 
     python -m tests.soak --first 1 --days 50 --beside 5
 """
@@ -51,7 +54,7 @@
 # A request sent earlier than this before an orderly close of its connection can't have crossed the close.
 CROSSING_S = 0.1
 DRAIN_GRACE_S = 1.0
-SECOND_ANSWER_LIMIT_S = 0.008  # a duplicate answer comes at the most this long after the first
+SECOND_ANSWER_LIMIT_S = 0.008  # a duplicate answer comes at most this long after the first
 TICK_S = 0.01
 CPU_WAIT_WINDOW_TICKS = 30  # window over which the gateway's time of waiting for a core is summed
 
@@ -84,8 +87,8 @@
 
 
 @dataclass
-class Day:
-    """The random parameters of a day, and the requests and attempts recorded on it."""
+class SoakRun:
+    """The random parameters of a run, and the requests and attempts recorded during it."""
 
     seed: int
     requests: dict[bytes, SentRequest] = field(default_factory=dict)
@@ -105,7 +108,7 @@
         self.may_hang = False  # whether the hanging hosts stop answering now
 
     def settings(self) -> dict[str, Any]:
-        """Return the gateway's settings for this day."""
+        """Return the gateway's settings for this run."""
         class_changes = {
             "hard_limit_ms": self.longest_deadline_s * 1000,
             "target_ms": self.longest_deadline_s * 400,
@@ -120,15 +123,15 @@
 class Host(asyncio.Protocol):
     """A connection to a host that serves most commands, but breaks, garbles or ignores some."""
 
-    def __init__(self, day: Day, number: int) -> None:
-        self.day, self.number = day, number
+    def __init__(self, run: SoakRun, number: int) -> None:
+        self.run, self.number = run, number
         self.reader = hiredis.Reader(notEnoughData=Ellipsis)
         self.current: HostAttempt | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = cast(asyncio.Transport, transport)
-        if self.day.rng.random() < 0.1:  # close at a random time
-            asyncio.get_running_loop().call_later(self.day.rng.random(), self.transport.close)
+        if self.run.rng.random() < 0.1:  # close at a random time
+            asyncio.get_running_loop().call_later(self.run.rng.random(), self.transport.close)
 
     def data_received(self, data: bytes) -> None:
         self.reader.feed(data)
@@ -136,11 +139,11 @@
             self._begin(words)
 
     def _begin(self, words: list[bytes]) -> None:
-        loop, rng = asyncio.get_running_loop(), self.day.rng
+        loop, rng = asyncio.get_running_loop(), self.run.rng
         fields = dict(pair.split(b"=") for pair in words[3].split(b","))
         attempt = self.current = HostAttempt(self.number, loop.time(), float(fields[b"d"]) / 1000)
-        self.day.attempts.setdefault(words[2], []).append(attempt)
-        if self.day.may_hang and self.number in self.day.hanging_hosts:
+        self.run.attempts.setdefault(words[2], []).append(attempt)
+        if self.run.may_hang and self.number in self.run.hanging_hosts:
             return
         behaviour = rng.choices(
             ("serve", "busy", "fail", "reset", "garbage", "half", "twice", "hang"),
@@ -178,10 +181,10 @@
 
 
 class Client(asyncio.Protocol):
-    """A connection of a client that sends requests in batches until it ends; the client may leave early."""
+    """A client's connection, which carries batches of requests until it ends; the client may leave early."""
 
-    def __init__(self, day: Day, name: bytes) -> None:
-        self.day, self.name = day, name
+    def __init__(self, run: SoakRun, name: bytes) -> None:
+        self.run, self.name = run, name
         self.reader = hiredis.Reader(notEnoughData=Ellipsis)
         self.pending: list[bytes] = []
         self.sent_count = 0
@@ -194,14 +197,14 @@
 
     def send_batch(self) -> None:
         """Send up to four requests at once, and now and then 40."""
-        rng, loop = self.day.rng, asyncio.get_running_loop()
+        rng, loop = self.run.rng, asyncio.get_running_loop()
         self.all_answered.clear()
         batch = []
         for _ in range(rng.choice((1, 1, 2, 4, 4, 40)) if rng.random() < 0.2 else rng.choice((1, 2))):
             self.sent_count += 1
             ident = b"%s.%d" % (self.name, self.sent_count)
             kind = rng.choice(("read", "read", "send", "pay"))
-            patience_s = self.day.longest_deadline_s * rng.uniform(0.5, 1.0)
+            patience_s = self.run.longest_deadline_s * rng.uniform(0.5, 1.0)
             extra = b"k=%s," % ident.hex().encode() if kind == "send" else b""
             fields = b"c=%s,t=basic,d=%d,%sunits=1,spread=1,first=0" % (
                 kind.encode(),
@@ -212,19 +215,19 @@
             words = [verb, b"%016x" % rng.randrange(1 << 33), ident, fields]
             batch.append(pack(words if kind == "read" else [*words, b"body"]))
             self.pending.append(ident)
-            self.day.requests[ident] = SentRequest(kind, int(patience_s * 1000) / 1000, loop.time())
+            self.run.requests[ident] = SentRequest(kind, int(patience_s * 1000) / 1000, loop.time())
         self._write(batch, self.pending[-len(batch) :])
 
     def _write(self, commands: list[bytes], idents: list[bytes]) -> None:
         """Write the commands at once, or now and then in two parts that are cut anywhere."""
-        rng, data = self.day.rng, b"".join(commands)
+        rng, data = self.run.rng, b"".join(commands)
         cut = len(data) if rng.random() < 0.9 else rng.randrange(1, len(data))
         self.transport.write(data[:cut])
         if cut < len(data):
             ends = accumulate(map(len, commands))
             incomplete = [ident for ident, end in zip(idents, ends, strict=True) if end > cut]
             for ident in incomplete:
-                self.day.requests[ident].is_complete = False
+                self.run.requests[ident].is_complete = False
             delay_s = rng.uniform(0.0, 0.3)
             asyncio.get_running_loop().call_later(delay_s, self._write_rest, data[cut:], incomplete)
 
@@ -233,7 +236,7 @@
         if self.transport.is_closing():
             return
         for ident in idents:
-            request = self.day.requests[ident]
+            request = self.run.requests[ident]
             request.sent_at, request.is_complete = asyncio.get_running_loop().time(), True
         self.transport.write(data)
 
@@ -241,7 +244,7 @@
         """Close the connection with requests open."""
         now = asyncio.get_running_loop().time()
         for ident in self.pending:
-            self.day.requests[ident].left_at = now
+            self.run.requests[ident].left_at = now
         self.pending.clear()
         self.transport.abort()
 
@@ -250,9 +253,9 @@
         now = asyncio.get_running_loop().time()
         while (answer := self.reader.gets()) is not ...:
             if not self.pending:
-                self.day.faults.append(f"{self.name!r}: an answer without a request: {answer!r}")
+                self.run.faults.append(f"{self.name!r}: an answer without a request: {answer!r}")
                 continue
-            request = self.day.requests[self.pending.pop(0)]
+            request = self.run.requests[self.pending.pop(0)]
             request.answer, request.answered_at, request.previous_answer_at = answer, now, self.answered_at
             self.answered_at = now
         if not self.pending:
@@ -261,36 +264,38 @@
     def connection_lost(self, error: Exception | None) -> None:
         now = asyncio.get_running_loop().time()
         for ident in self.pending:
-            request = self.day.requests[ident]
+            request = self.run.requests[ident]
             request.ended_at, request.was_reset = now, error is not None
         self.ended.set()
         self.all_answered.set()
 
 
-class DayRunner:
-    """Runs a day: two processes in turn at one address, with clients, signals and list changes."""
+class SoakRunner:
+    """Performs a run: two processes in turn at one address, with clients, signals and list changes."""
 
-    def __init__(self, day: Day, folder: Path) -> None:
-        self.day, self.folder, self.rng = day, folder, random.Random(day.seed + 1_000_000)
+    def __init__(self, run: SoakRun, folder: Path) -> None:
+        self.run, self.folder, self.rng = run, folder, random.Random(run.seed + 1_000_000)
         self.may_connect = False  # whether clients may open connections
         self.is_over = False
         self.address = ("", 0)
         self.clients: set[Client] = set()
         self.pid = 0  # of the gateway
 
-    async def run(self) -> None:
+    async def execute(self) -> None:
         loop = asyncio.get_running_loop()
         servers = [
-            await loop.create_server(lambda n=n: Host(self.day, n), "127.0.0.1", 0)  # type: ignore[misc]
+            await loop.create_server(lambda n=n: Host(self.run, n), "127.0.0.1", 0)  # type: ignore[misc]
             for n in range(HOSTS)
         ]
-        dials = [format_address(server.sockets[0].getsockname()) for server in servers]
-        self.host_lines = [HostListEntry(f"h{n}", at, "east", 0) for n, at in enumerate(dials)]
-        self.discovery, self.counter = DiscoveryService(self.host_lines), CounterService()
+        addresses = [format_address(server.sockets[0].getsockname()) for server in servers]
+        self.host_entries = [
+            HostListEntry(f"h{n}", address, "east", 0) for n, address in enumerate(addresses)
+        ]
+        self.discovery, self.counter = DiscoveryService(self.host_entries), CounterService()
         self.config_changes = {
             "discovery": format_address(await self.discovery.listen("first")),
             "counter": format_address(await self.counter.listen("first")),
-            "settings": self.day.settings(),
+            "settings": self.run.settings(),
             "limits": {"memory_mb": 192, "sockets": GATEWAY_DESCRIPTORS},
             "known": json.loads(self.discovery.directory.whole_list()),
         }
@@ -300,7 +305,7 @@
         try:
             for _ in range(2):
                 await self._run_process()
-                self.day.restarts += 1
+                self.run.restarts += 1
         finally:
             self.is_over = True
             for client in list(self.clients):
@@ -317,10 +322,10 @@
         while not self.is_over:
             before = loop.time()
             await asyncio.sleep(TICK_S)
-            self.day.lag_s = max(self.day.lag_s, loop.time() - before - TICK_S)
+            self.run.lag_s = max(self.run.lag_s, loop.time() - before - TICK_S)
             waited.append(self._cpu_wait_s())
             if waited[0] <= waited[-1]:  # not across the start of another process
-                self.day.cpu_wait_s = max(self.day.cpu_wait_s, waited[-1] - waited[0])
+                self.run.cpu_wait_s = max(self.run.cpu_wait_s, waited[-1] - waited[0])
 
     def _cpu_wait_s(self) -> float:
         """Return how long the gateway process has been runnable without running, in s."""
@@ -337,7 +342,7 @@
             if not self.may_connect:
                 continue
             number += 1
-            client = Client(self.day, b"%s.%d" % (name, number))
+            client = Client(self.run, b"%s.%d" % (name, number))
             try:
                 await asyncio.get_running_loop().create_connection(lambda c=client: c, *self.address)  # type: ignore[misc]
             except OSError:
@@ -370,9 +375,9 @@
                 await reader.read(1)  # an error line, or the end of the connection
             if (
                 loop.time() - began_at
-                > BAD_CLIENT_LIMIT_S + self.day.lag_s + self.day.cpu_wait_s + RULE_SLACK_S
+                > BAD_CLIENT_LIMIT_S + self.run.lag_s + self.run.cpu_wait_s + RULE_SLACK_S
             ):
-                self.day.faults.append(f"a bad client waited {loop.time() - began_at} s after {sent_data!r}")
+                self.run.faults.append(f"a bad client waited {loop.time() - began_at} s after {sent_data!r}")
             writer.transport.abort()
 
     async def _use_connection(self, client: Client) -> None:
@@ -386,7 +391,7 @@
 
     async def _run_process(self) -> None:
         """Run one process from its start to its end, with its clients and signals."""
-        day, rng, loop = self.day, self.rng, asyncio.get_running_loop()
+        run, rng, loop = self.run, self.rng, asyncio.get_running_loop()
         listen = {"listen": format_address(self.address)} if self.address[1] else {}
         path = config_file(self.folder, **(self.config_changes | listen))
         process, self.address = await started(path)
@@ -396,16 +401,16 @@
         try:
             self.may_connect = True
             await asyncio.sleep(rng.uniform(1.0, MAX_SERVE_S))  # no SIGHUP in a process's first second
-            if day.has_idle_connections:
+            if run.has_idle_connections:
                 idle_connections = await self._open_idle_connections()
             for _ in range(rng.choice((0, 1, 3))):
                 await self._reload(process, path, listen)
             self._drain_host()
-            day.may_hang = True
+            run.may_hang = True
             await asyncio.sleep(rng.uniform(0.1, 0.5))
             await self._stop(process)
-            day.may_hang = False
-            day.faults += _log_faults((await log).decode())
+            run.may_hang = False
+            run.faults += _log_faults((await log).decode())
         finally:
             with contextlib.suppress(ProcessLookupError):
                 process.kill()
@@ -433,17 +438,17 @@
         await asyncio.sleep(self.rng.choice((0.0, 0.05, 0.3)))
 
     def _drain_host(self) -> None:
-        """Start to drain a host that serves, two hosts on a day at the most."""
+        """Start to drain a random host, unless it drains already or two hosts do."""
         number = self.rng.randrange(HOSTS)
-        if len(self.day.drained_at) < 2 and number not in self.day.drained_at:
-            self.day.drained_at[number] = asyncio.get_running_loop().time()
-            self.host_lines[number] = self.host_lines[number].with_health("terminating")
-            self.discovery.change([self.host_lines[number]])
+        if len(self.run.drained_at) < 2 and number not in self.run.drained_at:
+            self.run.drained_at[number] = asyncio.get_running_loop().time()
+            self.host_entries[number] = self.host_entries[number].with_health("terminating")
+            self.discovery.change([self.host_entries[number]])
 
     async def _stop(self, process: Any) -> None:
         """Send SIGTERM, further signals after it, and SIGKILL at the earliest permitted moment."""
         loop = asyncio.get_running_loop()
-        kill_at = loop.time() + min(LONGEST_DEADLINE_S, self.day.longest_deadline_s) + KILL_DELAY_S
+        kill_at = loop.time() + min(LONGEST_DEADLINE_S, self.run.longest_deadline_s) + KILL_DELAY_S
         loop.call_later(NEW_CONNECTIONS_S, self._stop_connecting)
         process.send_signal(signal.SIGTERM)
         for signal_number in self.rng.choices(
@@ -458,7 +463,7 @@
         if process.returncode is None:
             process.kill()
         elif process.returncode != 0:
-            self.day.faults.append(f"the process exited with {process.returncode}")
+            self.run.faults.append(f"the process exited with {process.returncode}")
         await process.wait()
         self._stop_connecting()
         await asyncio.sleep(0.1)  # time for the kernel's last packets to the clients
@@ -473,23 +478,23 @@
     return [f"log: {line}" for line in errors if "configuration kept as it was:" not in line]
 
 
-def find_faults(day: Day) -> list[str]:
-    """Return what broke the rules on a day, one line per fault."""
-    faults = list(day.faults)
-    allowance_s = day.lag_s + day.cpu_wait_s + RULE_SLACK_S
-    for ident, request in day.requests.items():
-        attempts = day.attempts.get(ident, [])
-        answer_faults = _answer_faults(day, request, attempts, ident, allowance_s)
+def find_faults(run: SoakRun) -> list[str]:
+    """Return the broken rules of a run, one line per fault."""
+    faults = list(run.faults)
+    allowance_s = run.lag_s + run.cpu_wait_s + RULE_SLACK_S
+    for ident, request in run.requests.items():
+        attempts = run.attempts.get(ident, [])
+        answer_faults = _answer_faults(run, request, attempts, ident, allowance_s)
         faults += [f"{ident!r} {request.kind}: {fault}" for fault in answer_faults]
         faults += [
             f"{ident!r} {request.kind}: {fault}"
-            for fault in _attempt_faults(day, request, attempts, allowance_s)
+            for fault in _attempt_faults(run, request, attempts, allowance_s)
         ]
     return faults
 
 
 def _answer_faults(
-    day: Day, request: SentRequest, attempts: list[HostAttempt], ident: bytes, allowance_s: float
+    run: SoakRun, request: SentRequest, attempts: list[HostAttempt], ident: bytes, allowance_s: float
 ) -> list[str]:
     if request.left_at is not None or not request.is_complete:
         return []
@@ -521,7 +526,7 @@
         if (
             request.kind == "send"
             and ran
-            and request.answered_at > ran[0].began_at + day.window_s + allowance_s
+            and request.answered_at > ran[0].began_at + run.window_s + allowance_s
         ):
             faults.append("refused after its window for repeats")
     elif not isinstance(request.answer, bytes) and not str(request.answer).startswith("ERR failed"):
@@ -530,7 +535,7 @@
 
 
 def _attempt_faults(
-    day: Day, request: SentRequest, attempts: list[HostAttempt], allowance_s: float
+    run: SoakRun, request: SentRequest, attempts: list[HostAttempt], allowance_s: float
 ) -> list[str]:
     faults = []
     first_ran: HostAttempt | None = None
@@ -542,7 +547,7 @@
             faults.append(f"announced {attempt.time_left_s} s to its host, which is too long")
         if request.left_at is not None and attempt.began_at > request.left_at + LEFT_GRACE_S + allowance_s:
             faults.append("lost: attempt began after its client had left")
-        drained_at = day.drained_at.get(attempt.host)
+        drained_at = run.drained_at.get(attempt.host)
         if drained_at is not None and attempt.began_at > drained_at + DRAIN_GRACE_S + allowance_s:
             faults.append("drain: attempt began at a draining host")
         for earlier in attempts[:number]:
@@ -553,7 +558,7 @@
         if (
             first_ran is not None
             and request.kind == "send"
-            and attempt.began_at > first_ran.began_at + day.window_s + allowance_s
+            and attempt.began_at > first_ran.began_at + run.window_s + allowance_s
         ):
             faults.append("duplicate: repeated after its window for repeats")
         if not attempt.never_ran:
@@ -561,57 +566,57 @@
     return faults
 
 
-def run_day(seed: int) -> tuple[Day, list[str]]:
-    """Run a day; returns it with its faults, one line each."""
-    day = Day(seed)
+def run_seed(seed: int) -> tuple[SoakRun, list[str]]:
+    """Perform the run of a seed; returns it with its faults, one line each."""
+    run = SoakRun(seed)
     with (
         tempfile.TemporaryDirectory() as folder,
         asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner,
     ):
-        runner.run(DayRunner(day, Path(folder)).run())
-    return day, find_faults(day)
+        runner.run(SoakRunner(run, Path(folder)).execute())
+    return run, find_faults(run)
 
 
-async def _run_days(seeds: range, parallel: int) -> int:
-    """Run each day in a process of its own, several at once; returns how many days had a fault."""
-    semaphore, days_with_faults = asyncio.Semaphore(parallel), 0
+async def _run_seeds(seeds: range, parallel: int) -> int:
+    """Perform each run in a process of its own, several at once; returns how many runs had a fault."""
+    semaphore, runs_with_faults = asyncio.Semaphore(parallel), 0
 
     async def one(seed: int) -> None:
-        nonlocal days_with_faults
+        nonlocal runs_with_faults
         async with semaphore:
             process = await asyncio.create_subprocess_exec(
                 sys.executable, "-m", "tests.soak", "--seed", str(seed), stdout=-1
             )
             output, _ = await process.communicate()
-            days_with_faults += process.returncode != 0
+            runs_with_faults += process.returncode != 0
             print(output.decode(), end="", flush=True)
 
     await asyncio.gather(*[one(seed) for seed in seeds])
-    return days_with_faults
+    return runs_with_faults
 
 
 def main() -> int:
-    """Run one day or many, and print one line per day and per fault; returns 1 if there was a fault."""
+    """Perform one run or many, and print one line per run and per fault; returns 1 if there was a fault."""
     parser = argparse.ArgumentParser(description=__doc__)
-    parser.add_argument("--seed", type=int, help="run only the day with this seed")
+    parser.add_argument("--seed", type=int, help="run only this seed")
     parser.add_argument("--first", type=int, default=1)
     parser.add_argument("--days", type=int, default=50)
     parser.add_argument("--beside", type=int, default=4)
     options = parser.parse_args()
     if options.seed is None:
-        days_with_faults = asyncio.run(
-            _run_days(range(options.first, options.first + options.days), options.beside)
+        runs_with_faults = asyncio.run(
+            _run_seeds(range(options.first, options.first + options.days), options.beside)
         )
-        print(f"{options.days} days, {days_with_faults} with a fault")
-        return min(days_with_faults, 1)
-    day, faults = run_day(options.seed)
-    answered = sum(bool(request.answered_at) for request in day.requests.values())
-    served = sum(isinstance(request.answer, bytes) for request in day.requests.values())
+        print(f"{options.days} days, {runs_with_faults} with a fault")
+        return min(runs_with_faults, 1)
+    run, faults = run_seed(options.seed)
+    answered = sum(bool(request.answered_at) for request in run.requests.values())
+    served = sum(isinstance(request.answer, bytes) for request in run.requests.values())
     print(
-        f"seed {options.seed}: deadline {day.longest_deadline_s} s, window {day.window_s} s, "
-        f"idle connections {day.has_idle_connections}, {len(day.hanging_hosts)} hosts hang; "
-        f"{len(day.requests)} requests, {answered} answered, {served} served, "
-        f"lag {day.lag_s:.3f} s, waited for a core {day.cpu_wait_s:.3f} s; {len(faults)} faults"
+        f"seed {options.seed}: deadline {run.longest_deadline_s} s, window {run.window_s} s, "
+        f"idle connections {run.has_idle_connections}, {len(run.hanging_hosts)} hosts hang; "
+        f"{len(run.requests)} requests, {answered} answered, {served} served, "
+        f"lag {run.lag_s:.3f} s, waited for a core {run.cpu_wait_s:.3f} s; {len(faults)} faults"
     )
     for fault in faults[:10]:
         print(f"  {fault}")
--- a/tests/test_emulator_services.py
+++ b/tests/test_emulator_services.py
@@ -30,7 +30,7 @@
 from rainturn.settings import names_from, settings_from
 from tests.sockets import Client, run, soon
 
-DIALS = ("127.0.0.1:9",)
+UNUSED_HOST_ADDRESSES = ("127.0.0.1:9",)  # no connection is opened to it
 
 
 async def until(condition: Any) -> None:
@@ -49,7 +49,7 @@
 
 
 def test_a_directory_returns_the_changes_since_a_version() -> None:
-    entries = make_host_entries(4, DIALS)
+    entries = make_host_entries(4, UNUSED_HOST_ADDRESSES)
     directory = HostDirectory(entries)
     directory.change([entries[0].with_health("terminating")])
     directory.change([entries[1].with_health(TERMINATED), entries[0]])
@@ -63,7 +63,7 @@
 
 def test_discovery_sends_the_real_client_the_list_and_each_change() -> None:
     async def main() -> None:
-        entries = make_host_entries(30, DIALS)
+        entries = make_host_entries(30, UNUSED_HOST_ADDRESSES)
         service = DiscoveryService(entries)
         settings = settings_from(wire_settings(0, 1))
         node = Node(settings, 1, Clock(), asyncio.get_running_loop())
@@ -91,7 +91,7 @@
 
 def test_discovery_answers_a_watch_after_its_waiting_time_and_rejects_malformed_calls() -> None:
     async def main() -> None:
-        service = DiscoveryService(make_host_entries(2, DIALS))
+        service = DiscoveryService(make_host_entries(2, UNUSED_HOST_ADDRESSES))
         address = await service.listen("real")
         for path, status, part in (
             ("/discovery/hosts?index=1&wait=20", b"200", b'"hosts":[]'),
@@ -117,7 +117,7 @@
 
 def test_a_slow_discovery_answers_calls_one_after_another() -> None:
     async def main() -> None:
-        service = DiscoveryService(make_host_entries(2, DIALS), answer_ms=30.0)
+        service = DiscoveryService(make_host_entries(2, UNUSED_HOST_ADDRESSES), answer_ms=30.0)
         address = await service.listen("real")
         loop = asyncio.get_running_loop()
         began = loop.time()
@@ -226,8 +226,8 @@
 def test_hosts_answer_commands_and_state_the_time_taken() -> None:
     async def main() -> None:
         service = HostService(seed=1)
-        (dial,) = await service.listen(1)
-        host, _, port = dial.rpartition(":")
+        (address,) = await service.listen(1)
+        host, _, port = address.rpartition(":")
         client = await Client.connect((host, int(port)))
         tenants = Tenants(10, 4, 100.0, 1)
         drawn = tenants.draw(random.Random(1))
@@ -249,7 +249,7 @@
 
 def test_a_hollow_gateway_serves_requests_with_the_real_clients() -> None:
     async def main() -> None:
-        discovery, counter = DiscoveryService(make_host_entries(20, DIALS)), CounterService()
+        discovery, counter = DiscoveryService(make_host_entries(20, UNUSED_HOST_ADDRESSES)), CounterService()
         addresses = Addresses(await discovery.listen("hollow"), await counter.listen("hollow"))
         arrived: list[Request] = []
         gateway = HollowGateway(0, 1, addresses, 1)
@@ -292,7 +292,7 @@
 @pytest.mark.parametrize("wait", ["-5", "0"])
 def test_a_watch_without_waiting_time_is_answered_at_once(wait: str) -> None:
     async def main() -> None:
-        service = DiscoveryService(make_host_entries(2, DIALS))
+        service = DiscoveryService(make_host_entries(2, UNUSED_HOST_ADDRESSES))
         address = await service.listen("real")
         reader, writer = await asyncio.open_connection(*address)
         writer.write(f"GET /discovery/hosts?index=1&wait={wait} HTTP/1.1\r\nHost: h\r\n\r\n".encode())
--- a/tests/test_emulator_virtual.py
+++ b/tests/test_emulator_virtual.py
@@ -12,12 +12,12 @@
 
 from rainturn.emulator.quota_ledger import QuotaLedger, Units
 from rainturn.emulator.real_gateway import ROOT
-from rainturn.emulator.virtual_fleet import VirtualPlan
+from rainturn.emulator.virtual_fleet import VirtualFleetOptions
 from rainturn.emulator.virtual_series import PartitionDurations, measure_counter_traffic, measure_partition
 from rainturn.emulator.virtual_time import LATENCY_S, VirtualClock, VirtualLoop, run_virtual
 from rainturn.emulator.workload import PLANS
 
-PLAN = VirtualPlan(2, 2, 10, 20, 40.0, 1)
+FLEET_OPTIONS = VirtualFleetOptions(2, 2, 10, 20, 40.0, 1)
 
 
 class Echo(asyncio.Protocol):
@@ -92,7 +92,7 @@
     run_virtual(main)
 
 
-def test_a_ledger_refills_at_the_plans_rate_and_units_beyond_the_quota_take_nothing() -> None:
+def test_a_ledger_refills_at_the_plans_rate_and_excess_units_take_no_tokens() -> None:
     ledger, plan = QuotaLedger(), PLANS[0]
     ledger.phase = "now"
     ledger.record_admitted("a", 1, 0, plan.peak_units, 0.0)
@@ -108,7 +108,7 @@
 
 
 def test_the_same_seed_gives_the_same_counter_traffic() -> None:
-    first, second = (measure_counter_traffic(PLAN, 4.0) for _ in range(2))
+    first, second = (measure_counter_traffic(FLEET_OPTIONS, 4.0) for _ in range(2))
     counts = ("calls_per_request", "bytes_per_request", "calls_per_gateway")
     assert [first[name] for name in counts] == [second[name] for name in counts]
     assert 0.5 < first["calls_per_request"] < 5 and first["bytes_per_request"] > 30
@@ -117,8 +117,8 @@
 def test_the_memory_of_customers_is_measured() -> None:
     """The measurement runs in a new process, as in a scale run: memory freed here may hide the customers'."""
     program = (
-        "from rainturn.emulator.virtual_series import VirtualPlan, measure_customers_memory; "
-        "print(measure_customers_memory(VirtualPlan(1, 1, 10, 4000, 1.0, 1))['bytes_per_customer'])"
+        "from rainturn.emulator.virtual_series import VirtualFleetOptions, measure_customers_memory; "
+        "print(measure_customers_memory(VirtualFleetOptions(1, 1, 10, 4000, 1.0, 1))['bytes_per_customer'])"
     )
     found = subprocess.run(
         [sys.executable, "-c", program], cwd=ROOT, capture_output=True, text=True, check=True
@@ -127,7 +127,7 @@
 
 
 def test_a_partition_is_reported_by_phase_and_region() -> None:
-    faults = measure_partition(PLAN, PartitionDurations(2.0, 4.0, 1.0, 2.0))
+    faults = measure_partition(FLEET_OPTIONS, PartitionDurations(2.0, 4.0, 1.0, 2.0))
     names = {fault.name for fault in faults}
     assert len(names) == 8 and "counter partitioned, cut off, region cut off" in names
     admitted = {fault.name: fault.value for fault in faults if fault.quantity == "units_let_in"}
