--- a/rainturn/emulator/commands.py
+++ b/rainturn/emulator/commands.py
@@ -9,7 +9,7 @@
 
 @dataclass(frozen=True)
 class GetReading:
-    """Read what a role has measured so far; the answer is one of the readings below."""
+    """Return what a role has measured; the answer is the reading of its kind, defined below."""
 
 
 @dataclass(frozen=True)
@@ -169,7 +169,11 @@
 
 @dataclass(frozen=True)
 class ClientReading:
-    """What the clients of real gateways saw: their requests, the outcomes, and the added time in ms."""
+    """What the clients of real gateways saw.
+
+    `requests` counts their requests since the start. The outcomes and the added time, in ms, are those since
+    the last reading.
+    """
 
     requests: int
     outcome_counts: dict[str, int]
--- a/rainturn/emulator/comparison.py
+++ b/rainturn/emulator/comparison.py
@@ -153,7 +153,7 @@
         }
 
     def replace_host_list(self, hosts: int) -> None:
-        """Replace the host list by one with `hosts` hosts, and wait until all gateways have it whole."""
+        """Replace the host list with one of `hosts` hosts, and wait until all gateways have it."""
         self.discovery.ask(ReplaceHostList(hosts, self.host_addresses))
         self.discovery.ask(ChangeHosts(0, watchers=2 * GATEWAYS_PER_KIND))
 
@@ -275,8 +275,12 @@
     calibration_size = Size(min(MIN_HOSTS, hosts // 2), rate, seconds, changes)
     gateways = GatewayPairs(context)
     idle = gateways.measure_idle(seconds / 2)[HOLLOW]
-    dry_run = gateways.measure_load(rate, seconds, dry_run=True)[HOLLOW]
-    draw_us = 1e6 * (dry_run.cpu_s - idle.cpu_s * dry_run.seconds / idle.seconds) / max(1, dry_run.requests)
+    dry_window = gateways.measure_load(rate, seconds, dry_run=True)[HOLLOW]
+    draw_us = (
+        1e6
+        * (dry_window.cpu_s - idle.cpu_s * dry_window.seconds / idle.seconds)
+        / max(1, dry_window.requests)
+    )
     calibration = measure_size(gateways, calibration_size, draw_us)
     figures = measure_size(gateways, Size(hosts, rate, seconds, changes), draw_us)
     gateways.stop()
