--- a/rainturn/emulator/hollow.py
+++ b/rainturn/emulator/hollow.py
@@ -144,7 +144,7 @@
     @property
     def version(self) -> int:
         """The version of the host list in force, or 0 before the first list."""
-        return self.discovery.seq or 0
+        return self.discovery.version or 0
 
     def submit(self, drawn: DrawnRequest) -> None:
         """Let the gateway handle a synthetic request."""
--- a/rainturn/node/assembly.py
+++ b/rainturn/node/assembly.py
@@ -139,7 +139,9 @@
     if other_descriptors is None:
         parts.split_budget(parts.connection_budget)
     elif is_older:  # it may grow to half of the budget at the most
-        open_now = len(parts.clients.connections) + parts.pools.open_connections + parts.pools.connecting
+        open_now = (
+            len(parts.clients.connections) + parts.pools.open_connections + parts.pools.connecting_count
+        )
         parts.split_budget(max(parts.connection_budget // 2, open_now))
     else:
         parts.split_budget(
--- a/rainturn/node/discovery.py
+++ b/rainturn/node/discovery.py
@@ -103,7 +103,7 @@
         self.table = HostTable(zones)
         self.updater = ListUpdater(node, pools, self.table)
         pools.on_forgotten = self.table.forget
-        self.seq: int | None = None  # version of the applied list; None if a full list is needed
+        self.version: int | None = None  # version of the applied list; None if a full list is needed
         self.older_since: float | None = None  # when lists older than the applied one began to arrive
         self.is_pushed = not node.settings.asks_for_list
         grace_fraction_ms = AGENT_TIMEOUT_GRACE_FRACTION * node.settings.rules.drain_grace_ms
@@ -112,7 +112,7 @@
         self.rng = random.Random(seed)
         self.writer: asyncio.StreamWriter | None = None
         self.watch_task: asyncio.Task[None] | None = None
-        self.move_count = 0  # address changes; a list from an earlier address doesn't set `seq`
+        self.move_count = 0  # address changes; a list from an earlier address doesn't set `version`
         self._steps: Iterator[None] = iter(())  # the remaining steps of the list that is being applied
         self._apply_task: asyncio.Task[None] | None = None
 
@@ -122,7 +122,7 @@
         In ask mode and with a cached list, the first call comes after a random delay unless `at_once` is set.
         """
         wait_ms = 0.0
-        if not (at_once or self.is_pushed or self.seq is None):
+        if not (at_once or self.is_pushed or self.version is None):
             wait_ms = self.rng.random() * START_JITTER_MS
         self.watch_task = self.node.loop.create_task(self.run(wait_ms))
 
@@ -145,7 +145,7 @@
         if self.watch_task is not None:
             self.watch_task.cancel()
         self._close_connection()
-        self.address, self.seq, self.older_since = address, None, None
+        self.address, self.version, self.older_since = address, None, None
         self.move_count += 1
         self.start()
 
@@ -176,26 +176,26 @@
 
     def _check_version(self, update: HostListUpdate) -> None:
         """Raise a ValueError if an update is older than the applied list."""
-        if self.seq is not None and update.version < self.seq:
+        if self.version is not None and update.version < self.version:
             # Guards against a late or lagging answer that would bring back hosts which are gone by now.
             now = self.node.clock.now()
             self.older_since = self.older_since or now
             if not update.is_full or now - self.older_since < RENUMBERED_AFTER_MS:
-                raise ValueError(f"version {update.version} is older than {self.seq}")
+                raise ValueError(f"version {update.version} is older than {self.version}")
         self.older_since = None
 
     def _apply_at_once(self, update: HostListUpdate, cached: bool = False) -> None:
         self._check_version(update)
         kind = it.ListKind.FULL if update.is_full else it.ListKind.DELTA
-        is_full_list = update.is_full and bool(update.hosts)
+        is_nonempty_full_list = update.is_full and bool(update.entries)
         is_well_formed = self.updater.apply(update, it.ListKind.CACHED if cached else kind)
-        self.seq = update.version if (is_full_list and is_well_formed) or not cached else None
+        self.version = update.version if (is_nonempty_full_list and is_well_formed) or not cached else None
 
     def _apply_in_steps(self, update: HostListUpdate) -> Iterator[None]:
         move_count = self.move_count
         yield from self.updater.apply_in_steps(update)
         if move_count == self.move_count:
-            self.seq = update.version
+            self.version = update.version
 
     async def _run_steps(self) -> None:
         # Guards against a gateway that reports itself ready while it knows only some of the hosts.
@@ -222,12 +222,12 @@
         while True:
             try:
                 path, wait_ms = "/discovery/hosts", 0
-                if self.seq is not None and self.older_since is None:
+                if self.version is not None and self.older_since is None:
                     wait_ms = WATCH_WAIT_MS if answered or not (failures or self.is_pushed) else 1
-                    path += f"?index={self.seq}&wait={wait_ms}"
+                    path += f"?index={self.version}&wait={wait_ms}"
                 await self.apply_without_blocking(await self._get(path, wait_ms + self.timeout_ms))
                 if failures:
-                    log.info("discovery: back at version %s", self.seq)
+                    log.info("discovery: back at version %s", self.version)
                 failures, answered = 0, True
             except Exception as error:
                 # Guards against an unexpected or missing answer that would end the polling for good.
--- a/rainturn/node/host_list.py
+++ b/rainturn/node/host_list.py
@@ -47,13 +47,13 @@
 class HostListUpdate(NamedTuple):
     """An answer of discovery: the full list, or only the hosts that changed up to `version`.
 
-    `hosts` holds the `EntryFields` of each complete entry, and any other entry as decoded from JSON. It is
+    `entries` holds the `EntryFields` of each complete entry, and any other entry as decoded from JSON. It is
     emptied while it is read.
     """
 
     version: int
     is_full: bool
-    hosts: deque[Any]
+    entries: deque[Any]
 
 
 def parse_address(text: str) -> tuple[str, int]:
--- a/rainturn/node/host_pools.py
+++ b/rainturn/node/host_pools.py
@@ -33,12 +33,12 @@
         "name",
         "address",
         "started",
-        "leaving",
-        "gone",
-        "idle",
+        "is_leaving",
+        "is_gone",
+        "idle_connections",
         "connections",
-        "connecting",
-        "waiting",
+        "connecting_count",
+        "waiting_attempts",
         "idle_timer",
         "reuse_timer",
     )
@@ -46,12 +46,12 @@
     def __init__(self, pools: HostPools, number: int, name: str) -> None:
         self.pools, self.number, self.name = pools, number, name
         self.address, self.started = NO_ADDRESS, 0.0
-        self.leaving = False  # whether the host list says that the host is draining or gone
-        self.gone = False
-        self.idle = cast("deque[HostConnection]", ())  # the most recently used connection is last
+        self.is_leaving = False  # whether the host list says that the host is draining or gone
+        self.is_gone = False
+        self.idle_connections = cast("deque[HostConnection]", ())  # the most recently used connection is last
         self.connections = cast("set[HostConnection]", ())
-        self.connecting = 0  # number of connects under way
-        self.waiting = cast("deque[Attempt]", ())
+        self.connecting_count = 0  # number of connects under way
+        self.waiting_attempts = cast("deque[Attempt]", ())
         self.idle_timer: asyncio.TimerHandle | None = None  # closes the oldest idle connection
         # Set while attempts wait until an idle connection is older than REUSE_DELAY_MS.
         self.reuse_timer: asyncio.TimerHandle | None = None
@@ -59,7 +59,7 @@
     def _allocate(self) -> None:
         """Replace the shared empty containers by new ones."""
         if not isinstance(self.connections, set):
-            self.idle, self.connections, self.waiting = deque(), set(), deque()
+            self.idle_connections, self.connections, self.waiting_attempts = deque(), set(), deque()
 
     @property
     def node(self) -> Node:
@@ -74,15 +74,15 @@
     def start(self, attempt: Attempt) -> None:
         """Send an attempt on an idle connection, or open a connection for it."""
         self._allocate()
-        self.waiting.append(attempt)
-        if self.leaving:
-            self.pools.pools_to_return.add(self)
+        self.waiting_attempts.append(attempt)
+        if self.is_leaving:
+            self.pools.leaving_pools.add(self)
         self._serve_waiting()
 
     def _serve_waiting(self) -> None:
         """Send waiting attempts on idle connections, and open a connection if too few are being opened."""
         self._send_on_idle()
-        if self.connecting < len(self.waiting):
+        if self.connecting_count < len(self.waiting_attempts):
             self._open_connection()
 
     def _send_on_idle(self) -> None:
@@ -91,14 +91,16 @@
         Connections that may still get a second answer to their last command are left out.
         """
         now = self.node.clock.now()
-        while self.waiting:
-            found = next((c for c in reversed(self.idle) if now - c.idle_since >= REUSE_DELAY_MS), None)
+        while self.waiting_attempts:
+            found = next(
+                (c for c in reversed(self.idle_connections) if now - c.idle_since >= REUSE_DELAY_MS), None
+            )
             if found is None:
                 return
             self._remove_idle(found)
             if not found.is_usable(now):
                 found.close()
-            elif not self._try_send(found, self.waiting.popleft()):
+            elif not self._try_send(found, self.waiting_attempts.popleft()):
                 self.release(found)
 
     def _on_reuse_timer(self) -> None:
@@ -109,7 +111,7 @@
         """Send an attempt unless it became pointless while it waited; returns whether it was sent."""
         node, now = self.node, self.node.clock.now()
         request = attempt.request
-        if request.done or self.leaving or now > attempt.begin_by or not request.client.is_connected():
+        if request.done or self.is_leaving or now > attempt.begin_by or not request.client.is_connected():
             # Guards against a connection that comes up late: the request may have ended (rule 1), the hosts
             # may have forgotten its key (rule 2), or the host may have begun to leave (rule 3). Also guards
             # against a client that has left while the gateway has not read that yet, because reading is
@@ -122,10 +124,10 @@
     def _open_connection(self) -> None:
         if not self.pools.make_room():
             # The gateway's own limit prevents the connect. UNREACHABLE would make a healthy host suspect.
-            self.node.end_attempt(self.waiting.pop(), it.Outcome.NOT_SENT)
+            self.node.end_attempt(self.waiting_attempts.pop(), it.Outcome.NOT_SENT)
             return
-        self.connecting += 1
-        self.pools.connecting += 1
+        self.connecting_count += 1
+        self.pools.connecting_count += 1
         task = self.node.loop.create_task(self._connect())
         self.pools.tasks.add(task)  # the event loop holds only weak references to tasks
         task.add_done_callback(self.pools.tasks.discard)
@@ -143,14 +145,14 @@
         except (OSError, ValueError):
             pass
         finally:
-            self.connecting -= 1
-            self.pools.connecting -= 1
+            self.connecting_count -= 1
+            self.pools.connecting_count -= 1
         if connection is not None and not connection.closed:
             return self.add_connection(connection)
         self._send_on_idle()
-        if self.connecting < len(self.waiting):
-            if not self.idle:
-                node.end_attempt(self.waiting.popleft(), failure)
+        if self.connecting_count < len(self.waiting_attempts):
+            if not self.idle_connections:
+                node.end_attempt(self.waiting_attempts.popleft(), failure)
             elif self.reuse_timer is None:
                 # The host may accept no more connections, but an idle one can be reused soon.
                 self.reuse_timer = node.loop.call_later(REUSE_DELAY_MS / 1000, self._on_reuse_timer)
@@ -165,18 +167,18 @@
             # Guards against a connect that was under way when the host list changed the host's address.
             connection.close()
             return self._serve_waiting()
-        while self.waiting and not connection.closed:
-            if self._try_send(connection, self.waiting.popleft()):
+        while self.waiting_attempts and not connection.closed:
+            if self._try_send(connection, self.waiting_attempts.popleft()):
                 return
         self.release(connection)
 
     def release(self, connection: HostConnection) -> None:
         """Keep a connection without an attempt as idle if it may be reused; otherwise close it."""
         moved = connection.address != self.address
-        if self.leaving or moved or connection.closed or self.pools.closing:
+        if self.is_leaving or moved or connection.closed or self.pools.closing:
             return connection.close()
-        self.idle.append(connection)
-        self.pools.idle[connection] = None
+        self.idle_connections.append(connection)
+        self.pools.idle_connections[connection] = None
         if self.idle_timer is None:
             self.idle_timer = self.node.loop.call_later(self.idle_limit_ms / 1000, self._close_expired)
 
@@ -184,16 +186,16 @@
         """Close the connections that have reached the idle limit, and set the timer for the next one."""
         now = self.node.clock.now()
         self.idle_timer = None
-        while self.idle and now - self.idle[0].idle_since >= self.idle_limit_ms - 1:
-            self.idle[0].close()
-        if self.idle:
-            delay = self.idle[0].idle_since + self.idle_limit_ms - now
+        while self.idle_connections and now - self.idle_connections[0].idle_since >= self.idle_limit_ms - 1:
+            self.idle_connections[0].close()
+        if self.idle_connections:
+            delay = self.idle_connections[0].idle_since + self.idle_limit_ms - now
             self.idle_timer = self.node.loop.call_later(delay / 1000, self._close_expired)
 
     def close_idle(self) -> None:
         """Close the idle connections."""
-        while self.idle:
-            self.idle[0].close()
+        while self.idle_connections:
+            self.idle_connections[0].close()
 
     def close_idle_before(self, time: float) -> None:
         """Close the idle connections that received their last bytes before `time` (Unix time in ms).
@@ -202,28 +204,28 @@
         machine that vanished: each of its connections stays open and could take one more attempt, which then
         may have run. A new connect that fails proves that the attempt did not run.
         """
-        while self.idle and self.idle[0].idle_since < time:
-            self.idle[0].close()
+        while self.idle_connections and self.idle_connections[0].idle_since < time:
+            self.idle_connections[0].close()
 
     def remove(self, connection: HostConnection) -> None:
         """Remove a closed connection from the pool."""
         if connection in self.connections:
             self.connections.discard(connection)
             self.pools.open_connections -= 1
-        if connection in self.pools.idle:
+        if connection in self.pools.idle_connections:
             self._remove_idle(connection)
         self.forget_if_unused()
 
     def _remove_idle(self, connection: HostConnection) -> None:
-        self.idle.remove(connection)
-        del self.pools.idle[connection]
+        self.idle_connections.remove(connection)
+        del self.pools.idle_connections[connection]
 
     def forget_if_unused(self) -> None:
         """Remove the pool of a host that is gone once it has no connections and no attempts.
 
         Hosts are replaced all day, so kept pools would accumulate.
         """
-        if self.gone and not (self.connections or self.connecting or self.waiting):
+        if self.is_gone and not (self.connections or self.connecting_count or self.waiting_attempts):
             self.pools.forget(self)
 
 
@@ -234,9 +236,11 @@
         self.node, self.max_connections = node, max_connections
         self.idle_limit_ms = idle_limit_ms * IDLE_LIMIT_FRACTION
         self.pools: dict[int, HostPool] = {}
-        self.idle: OrderedDict[HostConnection, None] = OrderedDict()  # of all pools, the oldest is first
-        self.pools_to_return: set[HostPool] = set()  # pools in which attempts wait for a leaving host
-        self.open_connections = self.connecting = 0  # in all pools
+        self.idle_connections: OrderedDict[HostConnection, None] = (
+            OrderedDict()
+        )  # of all pools, the oldest is first
+        self.leaving_pools: set[HostPool] = set()  # pools in which attempts wait for a leaving host
+        self.open_connections = self.connecting_count = 0  # in all pools
         self.closing = False  # whether connections are closed when their attempt ends
         self.tasks: set[asyncio.Task[None]] = set()
         self.on_forgotten: Callable[[str], None] = lambda name: None  # called with a forgotten host's name
@@ -263,31 +267,31 @@
         if pool.address != address or started != pool.started or not ready:
             pool.address, pool.started = address, started
             pool.close_idle()
-        pool.leaving = not ready
-        pool.gone = state is it.HostState.GONE
-        if pool.leaving and pool.waiting:
-            self.pools_to_return.add(pool)
+        pool.is_leaving = not ready
+        pool.is_gone = state is it.HostState.GONE
+        if pool.is_leaving and pool.waiting_attempts:
+            self.leaving_pools.add(pool)
         pool.forget_if_unused()
 
-    def return_waiting(self) -> None:
+    def end_waiting_at_leaving_hosts(self) -> None:
         """End the attempts that wait for leaving hosts as MOOT, so that the decision module decides again.
 
         Call it after the decision module has received the list. The pools don't know when a drain was
         announced, and so not how long the grace lasts, because the discovery agent may have had the entry for
         a while. Therefore no new attempt is sent to a leaving host.
         """
-        pools = sorted(self.pools_to_return, key=lambda pool: pool.number)
-        self.pools_to_return.clear()
+        pools = sorted(self.leaving_pools, key=lambda pool: pool.number)
+        self.leaving_pools.clear()
         for pool in pools:
-            while pool.leaving and pool.waiting:
-                self.node.end_attempt(pool.waiting.popleft(), it.Outcome.NOT_SENT)
+            while pool.is_leaving and pool.waiting_attempts:
+                self.node.end_attempt(pool.waiting_attempts.popleft(), it.Outcome.NOT_SENT)
             pool.forget_if_unused()
 
     def close_idle(self) -> None:
         """Close all idle connections, and from now on each connection when its attempt ends."""
         self.closing = True
-        while self.idle:
-            next(iter(self.idle)).close()
+        while self.idle_connections:
+            next(iter(self.idle_connections)).close()
 
     def start(self, attempt: Attempt) -> None:
         """Send an attempt to its host, as soon as a connection is available."""
@@ -304,15 +308,15 @@
         if isinstance(connection, HostConnection):
             connection.close()
             connection.pool.close_idle_before(attempt.started_at)
-        elif pool is not None and attempt in pool.waiting:
-            pool.waiting.remove(attempt)
+        elif pool is not None and attempt in pool.waiting_attempts:
+            pool.waiting_attempts.remove(attempt)
             pool.forget_if_unused()
 
     def make_room(self) -> bool:
         """Whether the limit allows one more connection; closes the oldest idle connection if necessary."""
-        if self.open_connections + self.connecting < self.max_connections:
+        if self.open_connections + self.connecting_count < self.max_connections:
             return True
-        if not self.idle:
+        if not self.idle_connections:
             return False
-        next(iter(self.idle)).close()
+        next(iter(self.idle_connections)).close()
         return True
--- a/rainturn/node/list_intake.py
+++ b/rainturn/node/list_intake.py
@@ -72,7 +72,7 @@
     """The changes of an update, as far as its entries have been compared with the stored ones."""
 
     is_full: bool
-    is_base_complete: bool  # whether the stored list was applied to its end: then equal entries are skipped
+    is_table_complete: bool  # whether the stored list was applied to its end: then equal entries are skipped
     unseen: dict[str, EntryFields]  # the stored hosts that haven't appeared in the full list so far
     changed: dict[str, ListedHost] = field(default_factory=dict)
     problems: Problems = field(default_factory=Problems)
@@ -83,7 +83,7 @@
 
     def __init__(self, node: Node, pools: HostPools, table: HostTable) -> None:
         self.node, self.pools, self.table = node, pools, table
-        self.is_complete = True  # False while an update is applied, and after one that failed midway
+        self.is_table_complete = True  # False while an update is applied, and after one that failed midway
 
     def is_small(self, update: HostListUpdate) -> bool:
         """Return whether an update is applied at once.
@@ -92,11 +92,11 @@
         """
         stored_count = len(self.table.fields)
         limit = SMALL_FLEET_HOSTS if stored_count <= SMALL_FLEET_HOSTS else CHANGED_PER_STEP
-        return not stored_count or max(len(update.hosts), stored_count if update.is_full else 0) <= limit
+        return not stored_count or max(len(update.entries), stored_count if update.is_full else 0) <= limit
 
     def apply(self, update: HostListUpdate, kind: it.ListKind) -> bool:
         """Apply an update at once, as one event for the module; return whether no entry was malformed."""
-        self.is_complete = False
+        self.is_table_complete = False
         problems = Problems()
         hosts = self._read_all(update, problems)
         entries = [self._store(host) for host in hosts.values()]
@@ -109,14 +109,14 @@
         if update.is_full or entries:
             self._feed(kind, entries)
         problems.log(update.version)
-        self.is_complete = True
+        self.is_table_complete = True
         return not problems.malformed
 
     def _read_all(self, update: HostListUpdate, problems: Problems) -> dict[str, ListedHost]:
         """Return the hosts of an update by name; a host with a malformed entry keeps its stored one."""
         hosts: dict[str, ListedHost] = {}
-        while update.hosts:
-            entry = update.hosts.popleft()
+        while update.entries:
+            entry = update.entries.popleft()
             try:
                 host = parse_host(get_fields(entry))
             except MALFORMED_ENTRY_ERRORS as error:
@@ -138,19 +138,19 @@
         that leave are applied before the others.
         """
         comparison = Comparison(
-            update.is_full, self.is_complete, dict(self.table.fields) if update.is_full else {}
+            update.is_full, self.is_table_complete, dict(self.table.fields) if update.is_full else {}
         )
-        self.is_complete = False
+        self.is_table_complete = False
         yield
-        while update.hosts:
-            budget = COMPARED_PER_STEP
-            while budget > 0 and update.hosts:
-                budget -= self._compare(update.hosts.popleft(), comparison)
+        while update.entries:
+            comparisons_left = COMPARED_PER_STEP
+            while comparisons_left > 0 and update.entries:
+                comparisons_left -= self._compare(update.entries.popleft(), comparison)
             yield
         gone = [
             name
             for name in comparison.unseen
-            if self.table.is_listed(name) or not comparison.is_base_complete
+            if self.table.is_listed(name) or not comparison.is_table_complete
         ]
         leaving = [host for host in comparison.changed.values() if host.state is not it.HostState.READY]
         ready = [host for host in comparison.changed.values() if host.state is it.HostState.READY]
@@ -163,7 +163,7 @@
         if not (gone or comparison.changed):
             self._feed(it.ListKind.DELTA, [])  # a list without changes also counts as received for the module
         comparison.problems.log(update.version)
-        self.is_complete = True
+        self.is_table_complete = True
 
     def _compare(self, entry: Any, comparison: Comparison) -> int:
         """Compare an entry with the stored one; return the cost, in comparisons of equal entries."""
@@ -171,7 +171,7 @@
             fields = get_fields(entry)
             name = str(fields[0])
             stored = self.table.fields.get(name)
-            host = None if comparison.is_base_complete and fields == stored else parse_host(fields)
+            host = None if comparison.is_table_complete and fields == stored else parse_host(fields)
         except MALFORMED_ENTRY_ERRORS as error:
             comparison.problems.add_malformed(entry, error)
             comparison.unseen.pop(get_host_name(entry) or "", None)
@@ -209,7 +209,7 @@
     def _feed(self, kind: it.ListKind, entries: list[it.HostEntry]) -> None:
         """Send the module a list event, and then return the attempts that wait for hosts that leave."""
         self.node.feed(it.HostList(kind, tuple(entries)))
-        self.pools.return_waiting()
+        self.pools.end_waiting_at_leaving_hosts()
 
     def _is_unlisted(self, host: ListedHost) -> bool:
         """Return whether an entry reports a host as gone that was never listed or has been forgotten."""
--- a/tests/sockets.py
+++ b/tests/sockets.py
@@ -358,8 +358,11 @@
             "module": [attempts.open, attempts.queued, attempts.ended],
             "customers": [(c.open_attempts, c.waiting, c.slot_queue) for c in module.customers.values()],
             "hosts": [host.open_attempts for host in module.hosts.values()],
-            "pools": [pools.connecting, *((p.connecting, p.waiting) for p in pools.pools.values())],
-            "busy": [set(p.connections) - set(p.idle) for p in pools.pools.values()],
+            "pools": [
+                pools.connecting_count,
+                *((p.connecting_count, p.waiting_attempts) for p in pools.pools.values()),
+            ],
+            "busy": [set(p.connections) - set(p.idle_connections) for p in pools.pools.values()],
         }
         return {
             name: left
--- a/tests/test_emulator_services.py
+++ b/tests/test_emulator_services.py
@@ -72,15 +72,15 @@
         address = await service.listen("real")
         client = Discovery(node, pools, tuple(zone_names()), address, 1)
         client.start()
-        await until(lambda: client.seq == 1)
+        await until(lambda: client.version == 1)
         assert node.decision_module.listed_count() == 30
         await soon(service.wait_for_watchers(1))
         service.change([entries[0].with_health("terminating")])
         await soon(service.wait_for_watchers(1))
-        assert client.seq == 2 and node.decision_module.skipped_count() == 1
+        assert client.version == 2 and node.decision_module.skipped_count() == 1
         service.change([entry.with_health(TERMINATED) for entry in entries[1:11]])
         await soon(service.wait_for_watchers(1))
-        assert client.seq == 3 and node.decision_module.listed_count() == 20
+        assert client.version == 3 and node.decision_module.listed_count() == 20
         traffic = service.traffic["real"]
         assert traffic.whole_lists == 1 and traffic.messages_in >= 4
         await client.stop()
--- a/tests/test_node_clients.py
+++ b/tests/test_node_clients.py
@@ -577,7 +577,7 @@
                 sum(c.attempt is not None for pool in pools.pools.values() for c in pool.connections)
                 <= sent_before
             )
-            while world.parts.clients.connections or any(p.waiting for p in pools.pools.values()):
+            while world.parts.clients.connections or any(p.waiting_attempts for p in pools.pools.values()):
                 await asyncio.sleep(0.005)
             for _ in range(20):  # time for any written command to arrive
                 await asyncio.sleep(0.002)
--- a/tests/test_node_crowd.py
+++ b/tests/test_node_crowd.py
@@ -207,7 +207,7 @@
             world.parts.discovery.address = discovery_server.address
             hosts = [entry(f"host-{n}", address, "west" if n % 2 else "east") for n in range(1024)]
             discovery_server.put(json.dumps({"seq": 5, "whole": True, "hosts": hosts}, indent=4).encode())
-            world.parts.discovery.seq = None
+            world.parts.discovery.version = None
             world.parts.discovery.start()
             while world.parts.node.decision_module.listed_count() < 1024:
                 await asyncio.sleep(0.01)
--- a/tests/test_node_hosts.py
+++ b/tests/test_node_hosts.py
@@ -242,7 +242,7 @@
         async with World(lambda words: served()) as world:
             log, pool = EventLog(world), world.parts.pools.pools[1]
             world.parts.pools.start(add_attempt(world))
-            pool.leaving = True
+            pool.is_leaving = True
             assert (await log.next_end()).outcome is it.Outcome.NOT_SENT
             await soon(world.hosts[0].closed.get())
             assert world.hosts[0].commands.empty()
@@ -316,7 +316,7 @@
                 )
                 pool.address = servers[-1].sockets[0].getsockname()
                 pool._open_connection()  # an idle connection to each, so that no connect is needed later
-            while not all(pool.idle for pool in pools.values()):
+            while not all(pool.idle_connections for pool in pools.values()):
                 await asyncio.sleep(0)
             client = await world.client()
             client.ask(b"1")
@@ -399,7 +399,7 @@
         async with World(lambda words: served()) as world:
             log, pools = EventLog(world), world.parts.pools
             pools.start(add_attempt(world))
-            while not pools.connecting:
+            while not pools.connecting_count:
                 await asyncio.sleep(0)
             await asyncio.sleep(0)  # the connect is under way
             time.sleep(0.3)  # when the event loop runs again, the connect is complete and its time is over
@@ -407,7 +407,7 @@
             if outcome is it.Outcome.UNREACHABLE:
                 await soon(world.hosts[0].closed.get())
                 assert world.hosts[0].commands.empty() and not pools.open_connections
-            assert not pools.connecting and pools.open_connections == len(pools.pools[1].connections)
+            assert not pools.connecting_count and pools.open_connections == len(pools.pools[1].connections)
 
     run(main())
 
@@ -488,9 +488,9 @@
             pool = pools.pools[1]
             pools.start(add_attempt(world))
             assert (await log.next_end()).outcome is it.Outcome.OK
-            pool.idle[0].idle_since -= host_pools.REUSE_DELAY_MS
+            pool.idle_connections[0].idle_since -= host_pools.REUSE_DELAY_MS
             await soon(world.hosts[0].commands.get())
-            old, peer = pool.idle[0], _peer_of(world)
+            old, peer = pool.idle_connections[0], _peer_of(world)
             raw = socket.socket(fileno=socket.dup(peer.get_extra_info("socket").fileno()))
             if how == "bytes":
                 raw.send(served(b"another's"))
@@ -545,7 +545,7 @@
             assert (await log.next_end()).outcome is it.Outcome.OK
             world.hosts[0].server.close()
             pools.start(add_attempt(world))
-            assert pools.connecting == 1 and len(pools.pools[1].idle) == 1
+            assert pools.connecting_count == 1 and len(pools.pools[1].idle_connections) == 1
             assert (await log.next_end()).outcome is it.Outcome.OK and len(pools.pools[1].connections) == 1
 
     run(main())
--- a/tests/test_node_lists_at_scale.py
+++ b/tests/test_node_lists_at_scale.py
@@ -81,13 +81,13 @@
                 pools.start(_attempt_at(world, number))  # its connection is being opened
                 pools.update_host(number, address, it.HostState.DRAINING, 0.0)
             pools.update_host(7, address, it.HostState.GONE, 0.0)
-            pools.return_waiting()
+            pools.end_waiting_at_leaving_hosts()
             ends = [await log.next_end(), await log.next_end()]
             assert [(end.host, end.outcome) for end in ends] == [
                 (size - 3, it.Outcome.NOT_SENT),
                 (size, it.Outcome.NOT_SENT),
             ]
-            assert not counting_pools.visit_count and not pools.pools_to_return
+            assert not counting_pools.visit_count and not pools.leaving_pools
 
     run(main())
 
@@ -104,7 +104,7 @@
             for number in used:
                 pools.start(_attempt_at(world, number))
                 assert (await log.next_end()).outcome is it.Outcome.OK
-            assert [connection.pool.number for connection in pools.idle] == used  # type: ignore[attr-defined]
+            assert [connection.pool.number for connection in pools.idle_connections] == used  # type: ignore[attr-defined]
             pools.max_connections = len(used)
             for closed, number in zip(used, (20, 21, 22, 23), strict=True):
                 assert pools.pools[closed].connections
@@ -113,7 +113,9 @@
                 assert (await log.next_end()).outcome is it.Outcome.OK
             assert not counting_pools.visit_count
             pools.close_idle()
-            assert not counting_pools.visit_count and not pools.open_connections and not pools.idle
+            assert (
+                not counting_pools.visit_count and not pools.open_connections and not pools.idle_connections
+            )
 
     run(main())
 
@@ -128,7 +130,7 @@
             used = [number for number, pool in pools.pools.items() if isinstance(pool.connections, set)]
             assert used == [7]
             pools.update_host(7, ("127.0.0.1", 2), it.HostState.READY, 1.0)  # closes the idle connections
-            assert not pools.idle and not pools.open_connections
+            assert not pools.idle_connections and not pools.open_connections
             await soon(world.hosts[0].closed.get())
 
     run(main())
@@ -142,7 +144,7 @@
             log, pools = EventLog(world), _many_pools(world, 3)
             pools.update_host(2, pools.pools[2].address, it.HostState.DRAINING, 0.0)
             pools.start(_attempt_at(world, 2))
-            pools.return_waiting()
+            pools.end_waiting_at_leaving_hosts()
             assert (await log.next_end()).outcome is it.Outcome.NOT_SENT
             await asyncio.sleep(0)
             assert world.hosts[0].commands.empty()
@@ -249,7 +251,7 @@
         harness = DiscoveryHarness(monkeypatch, 17_000)
         await harness.discovery.apply_without_blocking(_list(2, _hosts(17_000)))
         assert harness.operation_counts() == (0, 0, 0, 0)
-        assert harness.events == [it.HostList(it.ListKind.DELTA, ())] and harness.discovery.seq == 2
+        assert harness.events == [it.HostList(it.ListKind.DELTA, ())] and harness.discovery.version == 2
         changed = [_host(3, health="terminating"), *_hosts(17_000)[4:], _host(20_000)]
         await harness.discovery.apply_without_blocking(_list(3, changed))
         assert harness.operation_counts() == (5, 5, 0, 0)  # one drains, three are missing, one is new
@@ -312,9 +314,9 @@
             )
             client.ask(b"1")
             assert await client.answer() == b"value"
-            assert not apply_task.done() and discovery.seq == 2
+            assert not apply_task.done() and discovery.version == 2
             await soon(apply_task)
-            assert discovery.seq == 3 and world.parts.node.decision_module.listed_count() == 17_002
+            assert discovery.version == 3 and world.parts.node.decision_module.listed_count() == 17_002
 
     run(main())
 
@@ -329,7 +331,7 @@
             while not node.decision_module.is_ready(node.clock.now()):
                 assert not node.is_ready()
                 await asyncio.sleep(0)
-            while discovery.seq != 3:
+            while discovery.version != 3:
                 assert not node.is_ready()
                 await asyncio.sleep(0)
             assert node.is_ready()
@@ -354,7 +356,7 @@
         agents[0].put(_list(50, _hosts(500) + [_host(n) for n in range(2000, 4000)]))
         while len(harness.events) < 5:
             await asyncio.sleep(0)
-        assert discovery.seq is None  # it changes only when the list is applied completely
+        assert discovery.version is None  # it changes only when the list is applied completely
         discovery.move(agents[1].address)
         agents[1].put(_list(3, [_host(n) for n in range(3000, 5000)]))
         assert await soon(agents[1].calls.get()) == "/discovery/hosts"
@@ -362,7 +364,7 @@
         # The first list is applied completely before the second one begins.
         assert harness.states() == [GONE] * 500 + [READY] * 2000 + [GONE] * 1500 + [READY] * 1000
         assert set(discovery.table.numbers) == {f"host-{n}" for n in range(3000, 5000)}
-        assert discovery.seq == 3
+        assert discovery.version == 3
         await discovery.stop()
         for agent in agents:
             agent.server.close()
@@ -382,12 +384,12 @@
             await asyncio.sleep(0)
         second = asyncio.create_task(harness.discovery.apply_without_blocking(_list(3, [_host(5)], False)))
         await soon(asyncio.gather(first, second))
-        assert harness.states() == [DRAINING] * 1000 + [READY] and harness.discovery.seq == 3
+        assert harness.states() == [DRAINING] * 1000 + [READY] and harness.discovery.version == 3
         third = asyncio.create_task(harness.discovery.apply_without_blocking(_list(4, _hosts(1000))))
         while len(harness.events) < 45:
             await asyncio.sleep(0)
         harness.discovery.apply(_list(5, [_host(6, health="terminated")], False))
-        assert harness.states()[1001:] == [READY] * 999 + [GONE] and harness.discovery.seq == 5
+        assert harness.states()[1001:] == [READY] * 999 + [GONE] and harness.discovery.version == 5
         await soon(third)
 
     run(main())
@@ -410,9 +412,11 @@
         drains = _hosts(1000, health="terminating")
         with pytest.raises(RuntimeError):
             await harness.discovery.apply_without_blocking(_list(2, drains))
-        assert harness.discovery.seq == 1
+        assert harness.discovery.version == 1
         await harness.discovery.apply_without_blocking(_list(2, drains))
-        assert harness.discovery.seq == 2 and all(pool.leaving for pool in harness.pools.pools.values())
+        assert harness.discovery.version == 2 and all(
+            pool.is_leaving for pool in harness.pools.pools.values()
+        )
         assert harness.states()[-1000:] == [DRAINING] * 1000
 
     run(main())
@@ -431,8 +435,8 @@
         hosts += [_host(size + 2, health="terminated")]
         await harness.discovery.apply_without_blocking(_list(2, hosts))
         table, pools = harness.discovery.table, harness.pools.pools
-        assert set(table.numbers) == {f"host-{n}" for n in range(size)} and harness.discovery.seq == 2
-        assert [number for number, pool in pools.items() if pool.leaving] == [table.numbers["host-5"]]
+        assert set(table.numbers) == {f"host-{n}" for n in range(size)} and harness.discovery.version == 2
+        assert [number for number, pool in pools.items() if pool.is_leaving] == [table.numbers["host-5"]]
         (line,) = [record.getMessage() for record in caplog.records]
         assert "version 2" in line and "4 malformed, the first host-3" in line
         assert "1 for a host named before" in line and "1 for a host that is gone" in line
@@ -449,7 +453,7 @@
         twice = [same, other, same] if known_first else [same, other]
         await harness.discovery.apply_without_blocking(_list(2, [*twice, *hosts]))
         pool = harness.pools.pools[harness.discovery.table.numbers["host-7"]]
-        assert pool.leaving is not known_first and harness.states() == [DRAINING] * (not known_first)
+        assert pool.is_leaving is not known_first and harness.states() == [DRAINING] * (not known_first)
 
     run(main())
 
@@ -494,12 +498,12 @@
             answer = b"[%s]" % answer
         agent.put(answer)
         await soon(agent.calls.get())
-        assert not harness.events and discovery.seq == 5 and len(harness.pools.pools) == 2000
+        assert not harness.events and discovery.version == 5 and len(harness.pools.pools) == 2000
         assert len(caplog.records) == 1
         monkeypatch.undo()
         agent.put(_list(7, [_host(1, health="terminating")], False))
         await soon(agent.calls.get())
-        assert harness.states() == [DRAINING] and discovery.seq == 7
+        assert harness.states() == [DRAINING] and discovery.version == 7
         await discovery.stop()
         agent.server.close()
 
@@ -583,12 +587,14 @@
         for _ in discovery._steps:
             pass
         numbers, module = discovery.table.numbers, node.decision_module.hosts
-        assert set(numbers) == set(model.hosts) and discovery.seq == (len(answers) - 1 if answers else None)
+        assert set(numbers) == set(model.hosts) and discovery.version == (
+            len(answers) - 1 if answers else None
+        )
         assert set(numbers.values()) == set(pools.pools) == set(module)
         for name, (state, dial) in model.hosts.items():
             pool, host = pools.pools[numbers[name]], module[numbers[name]]
             assert f"{pool.address[0]}:{pool.address[1]}" == dial and pool.name == name
-            assert (pool.leaving, pool.gone, host.is_ready, host.is_gone) == (
+            assert (pool.is_leaving, pool.is_gone, host.is_ready, host.is_gone) == (
                 state is not READY,
                 False,
                 state is READY,
--- a/tests/test_node_services.py
+++ b/tests/test_node_services.py
@@ -213,7 +213,7 @@
         harness.agent.put({"seq": 7, "whole": False, "hosts": [draining]})
         assert await harness.next() == (it.ListKind.DELTA, [(2, it.HostState.DRAINING)])
         assert "index=7&" in await soon(harness.agent.calls.get())
-        assert harness.pools.pools[2].leaving and not harness.pools.pools[1].leaving
+        assert harness.pools.pools[2].is_leaving and not harness.pools.pools[1].is_leaving
 
     run(_run_with_watch(test))
 
@@ -318,7 +318,7 @@
     discovery can be reached and has the change. It then answers as late as the client's timeout permits.
     """
     discovery, now, calls = harness.discovery, 0.0, 0
-    discovery.seq = 5
+    discovery.version = 5
 
     async def get(path: str, timeout_ms: float) -> object:
         nonlocal now, calls
--- a/tests/test_node_size.py
+++ b/tests/test_node_size.py
@@ -101,7 +101,9 @@
                     writer.write(piece)
                     await asyncio.sleep(0)
                 assert await client.answer() == value
-            while len(world.parts.pools.pools[1].idle) != 1:  # until the fields after the value have arrived
+            while (
+                len(world.parts.pools.pools[1].idle_connections) != 1
+            ):  # until the fields after the value have arrived
                 await asyncio.sleep(0)
             figures = await world.figures()
             assert figures["handled.pay.passed"] == figures["upstream_tries"] == 2
@@ -331,7 +333,7 @@
             client.ask(b"2")
             _, other = await scripted_host.next(world)  # the first connection is still busy
             writer.write(b"-1\r\n")
-            while len(world.parts.pools.pools[1].idle) != 1:
+            while len(world.parts.pools.pools[1].idle_connections) != 1:
                 await asyncio.sleep(0)
             client.ask(b"3")
             assert (await _receive_command(reader))[2] == b"3"
