--- a/rainturn/node/__main__.py
+++ b/rainturn/node/__main__.py
@@ -29,7 +29,7 @@
 async def serve(config: Config, descriptors: int) -> None:
     """Serve until SIGTERM or SIGINT, then answer all open requests and return.
 
-    SIGHUP reads the configuration file again. `descriptors` is how many the process may hold.
+    On SIGHUP the configuration file is read again. `descriptors` is how many the process may hold.
     """
     loop = asyncio.get_running_loop()
     loop.set_exception_handler(
@@ -52,7 +52,8 @@
     if listener is None:
         own_listener = await open_listening_socket(config.listen, clients.BACKLOG)
         address = parts.clients.accept_from(own_listener)
-    # Not earlier: a successor must not report ready before it has restored the predecessor's state.
+    # The control listener starts only here: a successor must not report ready before it has restored the
+    # predecessor's state.
     if config.control is not None:
         control_listener = await open_listening_socket(config.control, control.BACKLOG)
         log.info("control: listening on %s:%d", *parts.control.accept_from(control_listener))
@@ -61,7 +62,7 @@
     if handover is not None:
         handover.start()
         while handover.predecessor is not None and not parts.node.is_ready() and not stop.is_set():
-            await asyncio.sleep(READY_POLL_S)  # until it is ready, the predecessor serves alone
+            await asyncio.sleep(READY_POLL_S)  # until this process is ready, the predecessor serves alone
     if listener is not None:
         address = parts.clients.accept_from(listener)
     gc.collect()
--- a/rainturn/node/assembly.py
+++ b/rainturn/node/assembly.py
@@ -1,4 +1,4 @@
-"""Builds a gateway from its configuration, within its limits on memory and descriptors."""
+"""Builds a gateway from its configuration, within the limits on memory and descriptors."""
 
 from __future__ import annotations
 
@@ -20,14 +20,14 @@
 
 log = logging.getLogger(__name__)
 
-# Descriptors not for connections of clients and hosts: event loop, log, listeners, discovery, counter, and a
-# connection that is being closed.
+# Descriptors that connections of clients and hosts may not use: for the event loop, the log, listeners,
+# discovery, the counter, and a connection that is being closed.
 RESERVED_DESCRIPTORS = 48
-HOSTS_SHARE = 0.4  # share of the other descriptors that connections to hosts may use
+HOSTS_SHARE = 0.4  # fraction of the connection budget that connections to hosts may use
 
 
 class NoCounter:
-    """Takes the counter's place when the settings have none."""
+    """Replaces the counter client if the settings have no counter."""
 
     def call(self, name: int, amount: float, ttl: float) -> None:
         """Raise RuntimeError: without a counter, no call is permitted."""
@@ -40,7 +40,8 @@
 def apply_limits(config: Config) -> int:
     """Limit the process's data segment, and return how many descriptors it may hold.
 
-    The limit on descriptors is raised to the configured number as far as the system permits.
+    If the system's limit on descriptors is lower than the configured number, it is raised to that number, or
+    as far as the system permits.
     """
     data = int(config.memory_mb * (1 << 20))
     _, hard = resource.getrlimit(resource.RLIMIT_DATA)
@@ -63,10 +64,10 @@
     discovery: Discovery
     counter: CounterClient | NoCounter
     control: ControlListener
-    connection_budget: int  # limit on the connections of clients and hosts together
+    connection_budget: int  # maximum number of connections of clients and hosts together
 
     def split_budget(self, budget: int) -> None:
-        """Split a budget of connections between hosts and clients."""
+        """Split a connection budget between hosts and clients."""
         self.pools.max_connections = int(budget * HOSTS_SHARE)
         self.clients.budget = budget - self.pools.max_connections
 
@@ -132,13 +133,14 @@
 
 
 def share_connection_budget(parts: Parts, other_descriptors: int | None, is_older: bool) -> None:
-    """Keep the connections of two processes that are one gateway within the gateway's limit.
+    """Divide the connection budget of a gateway between its two processes during a handover.
 
-    `other_descriptors` is how many descriptors the other process holds, or None once it has ended.
+    `other_descriptors` is how many descriptors the other process holds, or None once it has ended; this
+    process then has the whole budget again.
     """
     if other_descriptors is None:
         parts.split_budget(parts.connection_budget)
-    elif is_older:  # it may grow to half of the budget at the most
+    elif is_older:  # opens connections up to half of the budget, and keeps those that it has
         open_now = (
             len(parts.clients.connections) + parts.pools.open_connections + parts.pools.connecting_count
         )
--- a/rainturn/node/configuration.py
+++ b/rainturn/node/configuration.py
@@ -14,7 +14,7 @@
 
 @dataclass(frozen=True)
 class Config:
-    """A checked configuration; addresses are pairs of host and port."""
+    """A checked configuration; addresses are pairs of host and port, and `known` is the cached host list."""
 
     name: str
     listen: tuple[str, int]
@@ -32,7 +32,7 @@
 
 
 def read_config(environment: Mapping[str, str]) -> Config:
-    """Read the file that `EDGE_CONFIG` names; raises ValueError with the reason if it is unusable."""
+    """Read the file that `EDGE_CONFIG` names; raise a ValueError with the reason if it is unusable."""
     path = environment.get("EDGE_CONFIG")
     if not path:
         raise ValueError("EDGE_CONFIG is not set")
@@ -47,7 +47,7 @@
 
 
 def parse_config(source: Any, environment: Mapping[str, str], source_name: str) -> Config:
-    """Check a configuration; raises ValueError, with the name of the source, if it is unusable.
+    """Check a configuration; raise a ValueError, with the name of the source, if it is unusable.
 
     Variables of the environment take precedence over the values in `source`.
     """
--- a/rainturn/node/control.py
+++ b/rainturn/node/control.py
@@ -13,15 +13,15 @@
 
 log = logging.getLogger(__name__)
 
-MAX_CONNECTIONS = 32  # at once; a further one closes the oldest
+MAX_CONNECTIONS = 32  # a further connection evicts the oldest
 # Connections accepted in one turn of the loop: few, so that a call is read before the connections behind it
 # evict it.
 ACCEPT_BATCH = 8
 CALL_TIMEOUT_S = 2.5  # how long a call may take to arrive completely
 BACKLOG = 128  # connections that the system queues until they are accepted
 ACCEPT_PAUSE_S = 0.1  # pause after accept fails for lack of a descriptor
-LINGER_S = 0.5  # how long a caller may take to read its answer
-MAX_CALL_BYTES = 8192  # of a complete call
+LINGER_S = 0.5  # how long a caller may take to read its answer and close
+MAX_CALL_BYTES = 8192  # longest complete call
 
 Answer = tuple[http.HTTPStatus, str]
 Route = Callable[[], Answer]
@@ -85,7 +85,10 @@
         self._answer(status, text)
 
     def _answer(self, status: http.HTTPStatus, text: str, extra_headers: str = "") -> None:
-        """Send the answer and half-close; the caller closes first, so that no reset overtakes the answer."""
+        """Send the answer and half-close.
+
+        The caller then closes first, so that no reset discards the answer before the caller has read it.
+        """
         self.is_answered = True
         self.transport.write(
             (
@@ -111,7 +114,7 @@
 
 
 class ControlListener:
-    """The listener for operators; clients can't use up its connections."""
+    """The listener for operators; clients can't use up its connections, which have their own limit."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop, routes: dict[bytes, dict[bytes, Route]]) -> None:
         self.loop, self.routes = loop, routes
@@ -120,7 +123,7 @@
         self.listener: socket.socket | None = None
 
     def accept_from(self, listener: socket.socket) -> tuple[str, int]:
-        """Accept from a socket that listens already; returns its address."""
+        """Accept from a socket that already listens; return its address."""
         self.listener = listener
         self.listener.setblocking(False)
         self._resume_accepting()
@@ -147,7 +150,7 @@
             connection = ControlConnection(self)
             self.connections[connection] = sock
             task = self.loop.create_task(self._attach(connection, sock))
-            self.tasks.add(task)  # the loop holds tasks only weakly
+            self.tasks.add(task)  # the event loop holds only weak references to tasks
             task.add_done_callback(self.tasks.discard)
 
     def _resume_accepting(self) -> None:
--- a/rainturn/node/discovery.py
+++ b/rainturn/node/discovery.py
@@ -1,4 +1,8 @@
-"""The discovery client: fetches the full host list, then long-polls for changes and applies both."""
+"""The discovery client: fetches the full host list, then watches it for changes and applies both.
+
+A watch is a long poll: a call that names a version, and that discovery answers once it has a later version
+or the wait time of the call is over.
+"""
 
 from __future__ import annotations
 
@@ -24,10 +28,10 @@
 # A gateway is expected to know a change 6 s after discovery has it and can be reached, whatever failed
 # before. For any number of hosts and gateways, a watch that gets no answer, the delay after it and the next
 # call therefore take less than 6 s together, and so do two calls and the longest delay.
-WATCH_WAIT_MS = 2000  # how long discovery may hold a watch; limits how long a silent watch goes unnoticed
+WATCH_WAIT_MS = 2000  # wait time of a watch; limits how long a watch without an answer goes unnoticed
 # In push mode an agent on this machine holds the list and answers at once. After an outage of the agent, a
-# gateway is expected to know everything that the agent has from the moment it is back. The timeout of a call
-# and the delay between calls are therefore a small fraction of the drain grace.
+# gateway is expected to know everything that the agent has as soon as the agent is back. The timeout of a
+# call and the delay between calls are therefore a small fraction of the drain grace.
 AGENT_TIMEOUT_GRACE_FRACTION = 0.25
 AGENT_TIMEOUT_MIN_MS = 100.0
 AGENT_TIMEOUT_MAX_MS = 500.0
@@ -41,8 +45,8 @@
 # gateways may start together. The time is short because the cached list may be old: a host that drained or
 # went away in the meantime must get no new requests after 1 s.
 START_JITTER_MS = 300.0
-# Discovery lags by at most this time. If its versions stay older than ours for longer, its numbering has
-# started again.
+# Discovery lags by at most this time. If its versions stay older than the applied one for longer, its
+# numbering has restarted.
 RENUMBERED_AFTER_MS = 6000.0
 # The number of hosts has no limit; this only stops an answer that would fill the memory. An entry takes about
 # 170 bytes, or 250 with long names and IPv6 addresses, so 17,000 hosts take 2.9 to 4.3 MB. The limit is four
@@ -54,7 +58,7 @@
 
 
 class Refused(Exception):
-    """Discovery answered with another status than 200: it has no list for this gateway now."""
+    """Discovery answered with a status other than 200: it has no list for this gateway now."""
 
 
 class _Response:
@@ -93,7 +97,7 @@
 class Discovery:
     """Keeps the host list up to date.
 
-    One task polls discovery; at most one further task at a time applies a large list in steps.
+    One task calls discovery; at most one further task at a time applies a large list in steps.
     """
 
     def __init__(
@@ -117,7 +121,7 @@
         self._apply_task: asyncio.Task[None] | None = None
 
     def start(self, at_once: bool = True) -> None:
-        """Start polling.
+        """Start the task that calls discovery.
 
         In ask mode and with a cached list, the first call comes after a random delay unless `at_once` is set.
         """
@@ -127,7 +131,7 @@
         self.watch_task = self.node.loop.create_task(self.run(wait_ms))
 
     async def stop(self) -> None:
-        """Stop polling; a list that is being applied stays partly applied."""
+        """Stop both tasks; a list that is being applied stays partly applied."""
         for task in (self.watch_task, self._apply_task):
             if task is not None:
                 task.cancel()
@@ -154,7 +158,7 @@
     def apply(self, answer: Any, cached: bool = False) -> None:
         """Apply an answer of any size without interruption.
 
-        `cached` marks the list that the gateway knew last, which may be old. An answer that is malformed or
+        `cached` marks the list from the configuration, which may be old. An answer that is malformed or
         older than the applied list raises a ValueError and isn't applied.
         """
         for _ in self._steps:  # the remaining steps of the previous list
@@ -172,7 +176,7 @@
         self._check_version(update)
         self._steps = self._apply_in_steps(update)
         self._apply_task = self.node.loop.create_task(self._run_steps())
-        await asyncio.shield(self._apply_task)  # `move` cancels the polling, but not a received list
+        await asyncio.shield(self._apply_task)  # `move` cancels the calls, but not a received list
 
     def _check_version(self, update: HostListUpdate) -> None:
         """Raise a ValueError if an update is older than the applied list."""
@@ -189,6 +193,7 @@
         kind = it.ListKind.FULL if update.is_full else it.ListKind.DELTA
         is_nonempty_full_list = update.is_full and bool(update.entries)
         is_well_formed = self.updater.apply(update, it.ListKind.CACHED if cached else kind)
+        # After a cached list that may lack hosts, the next call fetches the full list.
         self.version = update.version if (is_nonempty_full_list and is_well_formed) or not cached else None
 
     def _apply_in_steps(self, update: HostListUpdate) -> Iterator[None]:
@@ -210,12 +215,12 @@
     # Requests for lists.
 
     async def run(self, wait_ms: float = 0.0) -> None:
-        """Poll discovery for ever, first after `wait_ms`; retry a failed call after a short delay.
+        """Call discovery forever, first after `wait_ms`; retry a failed call after a short delay.
 
         Once a list is applied, calls name its version, because changes cost discovery less than full lists.
-        After a failed call, and at the start with an agent, a watch is opened only once a call with a short
-        wait has been answered: a watch that gets no answer lasts its full time, and changes that come
-        meanwhile would be applied too late.
+        After a failed call, and at the start with an agent, a watch is opened only once a call with a wait of
+        1 ms has been answered: a watch that gets no answer lasts its full time, and changes that discovery
+        gets meanwhile would be applied too late.
         """
         failures, answered = 0, False
         await asyncio.sleep(wait_ms / 1000)
@@ -230,7 +235,7 @@
                     log.info("discovery: back at version %s", self.version)
                 failures, answered = 0, True
             except Exception as error:
-                # Guards against an unexpected or missing answer that would end the polling for good.
+                # Guards against an unexpected or missing answer that would end this task for good.
                 if not failures:
                     log.warning("discovery: %r", error)
                 self._close_connection()
--- a/rainturn/node/handover.py
+++ b/rainturn/node/handover.py
@@ -1,7 +1,7 @@
 """Handover of the inherited listener from an old process to a new one, through files in a shared folder.
 
 The process that serves keeps `STATE_FILE` in the folder. A new process that finds it writes `SUCCESSOR_FILE`;
-from then on the old process writes its whole state into `STATE_FILE` at every poll until it ends. Files are
+from then on the old process writes its whole state into `STATE_FILE` every `POLL_S` until it ends. Files are
 always replaced as a whole. A file that can't be read, is meant for another process or is stale is ignored.
 """
 
@@ -23,8 +23,8 @@
 STATE_FILE, SUCCESSOR_FILE = "gateway-state.json", "gateway-successor.json"
 POLL_S = 0.2  # interval at which each process reads the other's file and, during an overlap, writes its own
 FIRST_STATE_TIMEOUT_S = 0.8  # how long a new process waits for the state of the old one
-STALE_S = 2.0  # an older file may come from a process that ended without announcing it
-FIRST_STATE_POLL_S = 0.02  # interval at which a new process looks for that state
+STALE_S = 2.0  # the writer of an older file may have ended without announcing it
+FIRST_STATE_POLL_S = 0.02  # interval at which a new process checks for the state of the old one
 ENDED_PROCESS_STATES = "ZX"  # in /proc/PID/stat: zombie, dead
 
 
@@ -45,7 +45,7 @@
 
 
 class Handover:
-    """One process's side of a handover.
+    """One process's side of a handover, as the predecessor, as the successor, or as both in turn.
 
     `current_state` returns the state that a successor gets. `on_overlap` is called with the number of
     descriptors that the other process holds, or None once it has ended, and with whether this process is the
@@ -67,7 +67,7 @@
         self.task: asyncio.Task[None] | None = None
 
     async def request_state(self) -> dict[str, Any] | None:
-        """Request the state of the process that serves; None if there is no such process or no answer."""
+        """Return the state of the process that serves, or None if no process serves or answers in time."""
         record = self._read(STATE_FILE)
         if record is None:
             return None
@@ -101,7 +101,7 @@
                 else:
                     self._check_successor()
             except Exception:
-                # Guards against a full or missing folder ending the polling for good.
+                # Guards against a full or missing folder that would end this task for good.
                 log.exception("handover: the check for the other process failed")
 
     def _check_predecessor(self) -> None:
@@ -130,7 +130,7 @@
             self.on_overlap(None, True)
 
     def announce_end(self) -> None:
-        """Record in the state file that this process is about to end, and stop polling."""
+        """Record in the state file that this process is about to end, and stop checking the files."""
         if self.task is not None:
             self.task.cancel()
         self._write(STATE_FILE, {"for": self.successor, "over": True})
@@ -138,8 +138,8 @@
     def _has_ended(self, record: dict[str, Any]) -> bool:
         """Return whether the writer of a file has ended.
 
-        It has if the file says so, or if the file is stale and no process of that name runs. The second
-        condition guards against taking a folder that can't be written for a while for the end of a process.
+        It has if the file says so, or if the file is stale and no process of that name runs. The check for
+        the process guards against taking a folder that can't be written for a while for its end.
         """
         return bool(record.get("over")) or not (self._is_fresh(record) or _is_alive(str(record["by"])))
 
@@ -168,16 +168,16 @@
 
 
 def _descriptors_in(record: dict[str, Any]) -> int:
-    """Return how many descriptors the writer of a file held, by that file."""
-    held = record.get("descriptors")
-    return held if isinstance(held, int) else 0
+    """Return how many descriptors the writer of a file held, as the file states it; 0 if it doesn't."""
+    count = record.get("descriptors")
+    return count if isinstance(count, int) else 0
 
 
 def _is_alive(name: str) -> bool:
-    """Return whether the process with this name, which begins with its pid, is seen to run."""
+    """Return whether `/proc` shows that the process with this name, which begins with its pid, runs."""
     pid = name.partition("-")[0]
     if not pid.isdigit() or int(pid) == os.getpid():
-        return False  # in the pid namespace of another process, this pid may be that process's own
+        return False  # the pid is this process's; the other one has it in another pid namespace, or has ended
     try:
         status = Path("/proc", pid, "stat").read_text()
     except OSError:
--- a/rainturn/node/host_connection.py
+++ b/rainturn/node/host_connection.py
@@ -112,7 +112,7 @@
     def end_body(self) -> None:
         """End the command after its body.
 
-        The attempt's time starts here, because only now the host has the whole command.
+        The attempt's time starts here, because the host has the complete command only now.
         """
         if self.closed or self.attempt is None:
             return
@@ -126,7 +126,7 @@
             self.pool.node.metrics.upstream_tries += 1
 
     def pause_writing(self) -> None:
-        """Note that bytes wait to be sent, and start the check for a host that accepts no more of a body."""
+        """Note that bytes wait to be sent; during an upload, start the check that the host accepts bytes."""
         super().pause_writing()
         if self.uploading:
             self._check_upload(first=True)
@@ -139,7 +139,7 @@
         self._set_stall_timer(UPLOAD_STALL_LIMIT_S, self._check_upload)
 
     def resume_writing(self) -> None:
-        """Note that all available bytes of the command have been sent, and ask the body for more."""
+        """Note that all written bytes have been sent, and resume reading of the streamed body."""
         super().resume_writing()
         if self.closed or self.attempt is None:
             return
@@ -242,8 +242,8 @@
     def _finish_answer(self) -> None:
         complete = check_fields(self.buffer, 0, self.fields_expected or 0)
         if complete is None:
-            # One time limit covers all fields: no request waits for them, and a limit per piece would let a
-            # host that sends a few bytes now and then occupy the connection forever.
+            # One time limit covers all fields. No request waits for them, and with a limit per piece, a host
+            # that sends a few bytes now and then would occupy the connection forever.
             if self.stall_timer is None:
                 self._set_stall_timer(STALL_LIMIT_S, self.close)
             return
@@ -258,9 +258,9 @@
     def fail(self) -> None:
         """Close the connection because its answer is malformed or has stalled. The request may have run.
 
-        This guards against waiting for the rest until the deadline. The decision module gets ERROR,
-        which means a host that is up, and not RESET: any host may send a malformed answer, and that must not
-        make it suspect.
+        This guards against waiting for the rest until the deadline. The outcome is ERROR, which means that
+        the host is up, and not RESET: any host may send a malformed answer, and that must not make it
+        suspect.
         """
         self.close(it.Outcome.ERROR)
 
@@ -298,9 +298,9 @@
                 self.pool.node.end_attempt(attempt, outcome)
 
     def eof_received(self) -> None:
-        """Treat a close by the host as a lost connection: no answer will come."""
+        """Treat the end of input from the host as a lost connection, because no answer will come."""
         self.connection_lost(None)
 
     def connection_lost(self, error: Exception | None) -> None:
-        """Close. A break proves that the request did not run only if its last byte had not been sent."""
+        """Close; the request provably did not run only if its last byte had not been sent."""
         self.close(it.Outcome.UNREACHABLE if self.has_unsent_bytes or self.uploading else it.Outcome.RESET)
--- a/rainturn/node/host_list.py
+++ b/rainturn/node/host_list.py
@@ -20,8 +20,9 @@
 # The exceptions raised for an entry with fields that are missing, of a wrong type or out of range.
 MALFORMED_ENTRY_ERRORS = (ArithmeticError, AttributeError, KeyError, TypeError, ValueError)
 
-# The unchecked fields of an entry: host, dial, site, block, health, share, born_ms. This is a plain tuple
-# because the garbage collector stops tracking tuples of strings and numbers, but tracks other record types.
+# The unchecked fields of an entry: host, dial, site, block, health, share, born_ms. Discovery calls a zone
+# `site`, a cell `block`, a host's address `dial` and its size `share`. This is a plain tuple because the
+# garbage collector stops tracking tuples of strings and numbers, but tracks other record types.
 EntryFields = tuple[str, str, str, int | str, str, float, float]
 
 _get_all_fields = itemgetter("host", "dial", "site", "block", "health", "share", "born_ms")
@@ -45,10 +46,10 @@
 
 
 class HostListUpdate(NamedTuple):
-    """An answer of discovery: the full list, or only the hosts that changed up to `version`.
+    """An answer of discovery: the full list, or only the changes since the version that the call named.
 
-    `entries` holds the `EntryFields` of each complete entry, and any other entry as decoded from JSON. It is
-    emptied while it is read.
+    `version` is that of the list after this update. `entries` holds the `EntryFields` of each complete entry,
+    and any other entry as decoded from JSON; it is emptied while it is read.
     """
 
     version: int
@@ -118,7 +119,7 @@
 
 
 def get_host_name(entry: Any) -> str | None:
-    """Return the host name of an entry, even if its other fields can't be read, or None if it has none."""
+    """Return the host name of an entry, or None if it has none; the other fields may be malformed."""
     if type(entry) is tuple:
         return str(entry[0])
     return str(entry["host"]) if isinstance(entry, dict) and "host" in entry else None
--- a/rainturn/node/host_pools.py
+++ b/rainturn/node/host_pools.py
@@ -15,7 +15,8 @@
 
 # Idle time before a connection is reused: an unwanted second answer of a host arrives a few ms late.
 REUSE_DELAY_MS = 10.0
-# Part of the hosts' own idle limit, so that no request is under way when a host closes an idle connection.
+# The gateway's idle limit as a fraction of the hosts': a host must not close an idle connection while a
+# request is on its way.
 IDLE_LIMIT_FRACTION = 0.7
 NO_ADDRESS = ("", 0)
 
@@ -23,8 +24,8 @@
 class HostPool:
     """The connections to one host and the attempts that wait for a connection.
 
-    A gateway sends to only a few of many hosts. To save memory, the containers of a pool are a shared empty
-    tuple until the first attempt at its host.
+    A gateway sends to only a few of many hosts. To save memory, the containers of a pool are the shared
+    empty tuple until the first attempt at its host.
     """
 
     __slots__ = (
@@ -48,7 +49,7 @@
         self.address, self.started = NO_ADDRESS, 0.0
         self.is_leaving = False  # whether the host list says that the host is draining or gone
         self.is_gone = False
-        self.idle_connections = cast("deque[HostConnection]", ())  # the most recently used connection is last
+        self.idle_connections = cast("deque[HostConnection]", ())  # the most recently used is last
         self.connections = cast("set[HostConnection]", ())
         self.connecting_count = 0  # number of connects under way
         self.waiting_attempts = cast("deque[Attempt]", ())
@@ -88,7 +89,7 @@
     def _send_on_idle(self) -> None:
         """Send waiting attempts on idle connections, the most recently used first.
 
-        Connections that may still get a second answer to their last command are left out.
+        Connections that may still receive a second answer to their last command are skipped.
         """
         now = self.node.clock.now()
         while self.waiting_attempts:
@@ -112,10 +113,10 @@
         node, now = self.node, self.node.clock.now()
         request = attempt.request
         if request.done or self.is_leaving or now > attempt.begin_by or not request.client.is_connected():
-            # Guards against a connection that comes up late: the request may have ended (rule 1), the hosts
-            # may have forgotten its key (rule 2), or the host may have begun to leave (rule 3). Also guards
-            # against a client that has left while the gateway has not read that yet, because reading is
-            # paused or the event loop was late. Nothing was sent, so nothing ran.
+            # Guards against a connection that is established late: the request may have ended (rule 1), the
+            # hosts may have forgotten its key (rule 2), or the host may have begun to leave (rule 3). Also
+            # guards against a client that has closed its connection while the gateway has not read that yet,
+            # because reading is paused or the event loop was late. Nothing was sent, so nothing ran.
             node.end_attempt(attempt, it.Outcome.NOT_SENT)
             return False
         connection.send_command(attempt, now)
@@ -159,7 +160,7 @@
         self.forget_if_unused()
 
     def add_connection(self, connection: HostConnection) -> None:
-        """Use a new connection for the attempt that has waited longest, or keep it as an idle connection."""
+        """Add a new connection: use it for the attempt that has waited longest, or keep it as idle."""
         self._allocate()
         self.connections.add(connection)
         self.pools.open_connections += 1
@@ -236,17 +237,16 @@
         self.node, self.max_connections = node, max_connections
         self.idle_limit_ms = idle_limit_ms * IDLE_LIMIT_FRACTION
         self.pools: dict[int, HostPool] = {}
-        self.idle_connections: OrderedDict[HostConnection, None] = (
-            OrderedDict()
-        )  # of all pools, the oldest is first
+        # The idle connections of all pools; the one that has been idle longest is first.
+        self.idle_connections: OrderedDict[HostConnection, None] = OrderedDict()
         self.leaving_pools: set[HostPool] = set()  # pools in which attempts wait for a leaving host
         self.open_connections = self.connecting_count = 0  # in all pools
         self.closing = False  # whether connections are closed when their attempt ends
         self.tasks: set[asyncio.Task[None]] = set()
-        self.on_forgotten: Callable[[str], None] = lambda name: None  # called with a forgotten host's name
+        self.on_forgotten: Callable[[str], None] = lambda name: None  # called with the name of a removed host
 
     def forget(self, pool: HostPool) -> None:
-        """Remove the pool of a host, and call `on_forgotten` with its name."""
+        """Remove a pool, and call `on_forgotten` with the name of its host."""
         if self.pools.get(pool.number) is pool:
             if pool.idle_timer is not None:
                 pool.idle_timer.cancel()
@@ -261,7 +261,7 @@
     def update_host(self, host: int, address: tuple[str, int], state: it.HostState, started: float) -> None:
         """Apply an entry of the host list; `started` is the start time of the host (Unix time in ms).
 
-        The idle connections of a host whose address changed, or that restarted or is leaving, are closed.
+        Idle connections are closed if the host's address has changed, or if it restarted or is leaving.
         """
         pool, ready = self.pools[host], state is it.HostState.READY
         if pool.address != address or started != pool.started or not ready:
@@ -274,11 +274,11 @@
         pool.forget_if_unused()
 
     def end_waiting_at_leaving_hosts(self) -> None:
-        """End the attempts that wait for leaving hosts as MOOT, so that the decision module decides again.
+        """End the attempts that wait for leaving hosts as NOT_SENT; the decision module then decides again.
 
-        Call it after the decision module has received the list. The pools don't know when a drain was
-        announced, and so not how long the grace lasts, because the discovery agent may have had the entry for
-        a while. Therefore no new attempt is sent to a leaving host.
+        Call it after the decision module has received the list. No new attempt is sent to a leaving host,
+        because the pools can't tell when its drain grace ends: the discovery agent may have had the entry for
+        a while before the gateway received it.
         """
         pools = sorted(self.leaving_pools, key=lambda pool: pool.number)
         self.leaving_pools.clear()
--- a/rainturn/node/host_table.py
+++ b/rainturn/node/host_table.py
@@ -1,4 +1,7 @@
-"""Stores the last entries of the listed hosts, and the module's numbers for hosts, zones and cells."""
+"""Stores the last entries of the listed hosts, and the numbers of hosts, zones and cells.
+
+The decision module knows hosts, zones and cells only by these numbers.
+"""
 
 from __future__ import annotations
 
@@ -7,7 +10,7 @@
 
 
 class Cell:
-    """A cell of hosts: its number for the module, and how many listed hosts it has."""
+    """A cell: its number, and how many stored hosts it has."""
 
     __slots__ = ("number", "host_count")
 
@@ -16,9 +19,9 @@
 
 
 class HostTable:
-    """The hosts of the list, and the hosts that are gone but still have open connections.
+    """The hosts of the list, and the hosts that are gone but whose pools still exist.
 
-    The numbers of hosts and cells are never used again for another host or cell.
+    The numbers of hosts and cells are never reused.
     """
 
     def __init__(self, zones: tuple[str, ...]) -> None:
@@ -29,7 +32,7 @@
         self.last_host_number = self.last_cell_number = 0
 
     def store(self, host: ListedHost) -> it.HostEntry:
-        """Store a host as it is listed now, and return its entry for the module."""
+        """Store a host as it is listed now, and return its entry for the decision module."""
         name = host.name
         if name not in self.numbers:
             self.last_host_number += 1
@@ -42,7 +45,7 @@
         )
 
     def _assign_cell(self, stored: EntryFields | None, name: str) -> Cell:
-        """Count a host in the cell `name` instead of the cell of its stored entry; return the cell."""
+        """Move a host from the cell of its stored entry, if any, to the cell `name`; return that cell."""
         if stored is not None and _cell_of(stored) == name:
             return self.cells[name]
         if name not in self.cells:
@@ -64,7 +67,7 @@
         return stored is not None and _health_of(stored) != GONE_HEALTH
 
     def forget(self, name: str) -> None:
-        """Remove a host that is gone and has no connection left, and its cell if that is empty then."""
+        """Remove a host that is gone and has no pool any more, and its cell if that has no other hosts."""
         if (stored := self.fields.pop(name, None)) is not None:
             del self.numbers[name]
             self._leave_cell(_cell_of(stored))
--- a/rainturn/node/list_decoder.py
+++ b/rainturn/node/list_decoder.py
@@ -33,13 +33,13 @@
 async def decode_async(body: bytes | bytearray) -> Any:
     """Decode the body of an answer without blocking the event loop for long.
 
-    The parser holds the interpreter lock except while it calls the hook after each object, where the thread
-    can release the lock to the event loop. The thread ends when the body is decoded.
+    The JSON parser releases the interpreter lock to the event loop only in the Python hook that it calls
+    after each object. The thread ends when the body is decoded.
     """
     if len(body) <= MAX_INLINE_BYTES:
         return decode(body)
     executor = ThreadPoolExecutor(1, "decoder")
-    _begin_decoding()  # first, because a wait for the lock lasts the interval set at its start
+    _begin_decoding()  # first, because a wait for the lock uses the interval that is set when it starts
     future = executor.submit(decode, body)
     future.add_done_callback(lambda _: _end_decoding())
     executor.shutdown(wait=False)
--- a/rainturn/node/list_intake.py
+++ b/rainturn/node/list_intake.py
@@ -1,4 +1,4 @@
-"""Applies updates of the host list to the pools and to the module: small ones at once, large ones in steps.
+"""Applies host list updates to the pools and the decision module: small ones at once, large ones in steps.
 
 A step holds the event loop for some tenths of a millisecond, and requests are served between two steps. A
 large update isn't applied in the order of its entries: hosts that drain or are gone come first, because
@@ -31,14 +31,14 @@
 
 Item = TypeVar("Item")
 
-# At the 99th percentile a list may delay a request by 2.5 ms. A request passes through the event loop about
-# four times: when it arrives, with the counter's total, with the host's answer, and once more with a second
-# attempt. One step should therefore take at most 0.6 ms, even on a core of half the usual speed.
+# At the 99th percentile, applying a list may delay a request by 2.5 ms. A request passes through the event
+# loop about four times: when it arrives, with the counter's total, with the host's answer, and once more with
+# a second attempt. One step should therefore take at most 0.6 ms, even on a core of half the usual speed.
 COMPARED_PER_STEP = 250  # entries that are equal to the stored ones and are only compared
-CHECK_COST = 10  # cost of checking an entry that differs, in comparisons of equal entries
-CHANGED_PER_STEP = 25  # entries that differ and are applied to the pools and the module
-# Up to this number of hosts an update is applied at once. In a larger fleet only a delta of at most
-# CHANGED_PER_STEP entries is.
+CHECK_COST = 10  # cost of checking an entry that differs, as a number of comparisons of equal entries
+CHANGED_PER_STEP = 25  # entries that differ and are applied to the pools and the decision module
+# In a fleet of up to this number of hosts, every update is applied at once. In a larger fleet, only a delta
+# of at most CHANGED_PER_STEP entries is.
 SMALL_FLEET_HOSTS = 256
 
 
@@ -72,7 +72,7 @@
     """The changes of an update, as far as its entries have been compared with the stored ones."""
 
     is_full: bool
-    is_table_complete: bool  # whether the stored list was applied to its end: then equal entries are skipped
+    is_table_complete: bool  # whether the previous update was applied completely: equal entries are skipped
     unseen: dict[str, EntryFields]  # the stored hosts that haven't appeared in the full list so far
     changed: dict[str, ListedHost] = field(default_factory=dict)
     problems: Problems = field(default_factory=Problems)
@@ -95,7 +95,10 @@
         return not stored_count or max(len(update.entries), stored_count if update.is_full else 0) <= limit
 
     def apply(self, update: HostListUpdate, kind: it.ListKind) -> bool:
-        """Apply an update at once, as one event for the module; return whether no entry was malformed."""
+        """Apply an update at once, as one event for the decision module.
+
+        Returns whether all entries were well formed.
+        """
         self.is_table_complete = False
         problems = Problems()
         hosts = self._read_all(update, problems)
@@ -113,7 +116,7 @@
         return not problems.malformed
 
     def _read_all(self, update: HostListUpdate, problems: Problems) -> dict[str, ListedHost]:
-        """Return the hosts of an update by name; a host with a malformed entry keeps its stored one."""
+        """Return the hosts of an update by name; a malformed entry leaves the stored one in force."""
         hosts: dict[str, ListedHost] = {}
         while update.entries:
             entry = update.entries.popleft()
@@ -131,11 +134,11 @@
         return hosts
 
     def apply_in_steps(self, update: HostListUpdate) -> Iterator[None]:
-        """Apply an update in steps, as delta events for the module; other work may run at each `yield`.
+        """Apply an update in steps, as delta events; other work may run at each `yield`.
 
         No change is applied before all entries are compared, and the caller must exhaust the iterator before
-        it applies another update. The module therefore never sees a mix of two lists, except that the hosts
-        that leave are applied before the others.
+        it applies another update. The decision module therefore never sees a mix of two lists, except that
+        the hosts that leave are applied before the others.
         """
         comparison = Comparison(
             update.is_full, self.is_table_complete, dict(self.table.fields) if update.is_full else {}
@@ -161,12 +164,12 @@
             self._apply_changes(hosts)
             yield
         if not (gone or comparison.changed):
-            self._feed(it.ListKind.DELTA, [])  # a list without changes also counts as received for the module
+            self._feed(it.ListKind.DELTA, [])  # tells the decision module that a list without changes arrived
         comparison.problems.log(update.version)
         self.is_table_complete = True
 
     def _compare(self, entry: Any, comparison: Comparison) -> int:
-        """Compare an entry with the stored one; return the cost, in comparisons of equal entries."""
+        """Compare an entry with the stored one; return the cost, as a number of equal entries."""
         try:
             fields = get_fields(entry)
             name = str(fields[0])
@@ -189,7 +192,7 @@
         return CHECK_COST
 
     def _apply_changes(self, hosts: list[ListedHost]) -> None:
-        """Apply changes to the pools and, as one event, to the module."""
+        """Apply changes to the pools and, as one event, to the decision module."""
         entries = []
         for host in hosts:
             entry = self._store(host)
@@ -207,16 +210,16 @@
         return parse_host(as_gone(self.table.fields[name]))
 
     def _feed(self, kind: it.ListKind, entries: list[it.HostEntry]) -> None:
-        """Send the module a list event, and then return the attempts that wait for hosts that leave."""
+        """Pass a list event to the decision module, then end the attempts that wait for leaving hosts."""
         self.node.feed(it.HostList(kind, tuple(entries)))
         self.pools.end_waiting_at_leaving_hosts()
 
     def _is_unlisted(self, host: ListedHost) -> bool:
-        """Return whether an entry reports a host as gone that was never listed or has been forgotten."""
+        """Return whether an entry reports a host as gone that isn't in the table."""
         return host.state is it.HostState.GONE and host.name not in self.table.fields
 
 
 def _batches(items: list[Item]) -> Iterator[list[Item]]:
-    """Split a list into batches of one step each."""
+    """Split a list into batches of at most CHANGED_PER_STEP items."""
     for start in range(0, len(items), CHANGED_PER_STEP):
         yield items[start : start + CHANGED_PER_STEP]
--- a/rainturn/node/reload.py
+++ b/rainturn/node/reload.py
@@ -11,15 +11,15 @@
 log = logging.getLogger(__name__)
 
 RETRY_S = 0.1  # pause before a configuration that could not be read is read again
-RETRY_FOR_S = 3.0  # within the 4 s after the signal by which the new discovery's hosts must be in use
+RETRY_FOR_S = 3.0  # shorter than 4 s: by then after the signal, the new discovery's hosts must be in use
 
 
 class Reload:
     """Reads the configuration file again, and retries for a while if it can't be read.
 
-    Only the file is read: the environment dates from the start of the process and would hide a new address.
-    The configuration in force stays until the file can be read; this guards against a file that is half
-    written or can't be opened for a moment.
+    Environment variables are ignored: they date from the start of the process and would hide a new address.
+    The configuration in force stays until the file can be read. This guards against a file that is only half
+    written or that can't be opened for a moment.
     """
 
     def __init__(self, path: str, parts: Parts, loop: asyncio.AbstractEventLoop) -> None:
@@ -27,7 +27,7 @@
         self.retry_timer: asyncio.TimerHandle | None = None
 
     def begin(self) -> None:
-        """Handle a SIGHUP; it replaces an earlier one that is still retried."""
+        """Begin a reload, and end the retries of an earlier one."""
         self._read(self.loop.time() + RETRY_FOR_S, is_first=True)
 
     def _read(self, retry_until: float, is_first: bool = False) -> None:
--- a/rainturn/node/succession.py
+++ b/rainturn/node/succession.py
@@ -1,4 +1,4 @@
-"""The decision module's state as one process passes it to its successor, and as the successor restores it."""
+"""Saves the decision module's state for a successor process, and restores it there."""
 
 from __future__ import annotations
 
@@ -12,7 +12,6 @@
 
 log = logging.getLogger(__name__)
 
-
 CLOCK_BASE_KEY = "clock_base"
 
 
@@ -26,7 +25,7 @@
 
 
 def state_for_successor(parts: Parts) -> dict[str, Any]:
-    """Return the module's state, with hosts by name: their numbers differ from process to process."""
+    """Return the decision module's state, with hosts by name: their numbers differ between processes."""
     state = dict[str, Any](save_state(parts.node.decision_module)) | {
         CLOCK_BASE_KEY: parts.node.clock.base_ms
     }
@@ -38,7 +37,7 @@
 
 
 def restore_predecessor_state(parts: Parts, state: dict[str, Any]) -> None:
-    """Restore a predecessor's state into the module; a malformed state changes nothing."""
+    """Restore a predecessor's state into the decision module; a malformed state changes nothing."""
     try:
         numbers = parts.discovery.table.numbers
         hosts = {str(numbers[name]): values for name, values in state["hosts"].items() if name in numbers}
