--- a/tests/test_audit_hosts.py
+++ b/tests/test_audit_hosts.py
@@ -8,7 +8,7 @@
 
 
 def test_a_connection_to_the_old_address_of_a_host_is_not_reused() -> None:
-    """The list changes the address while a request is open at the old one; the next uses the new one."""
+    """The list changes the address while a request is open; the next request uses the new address."""
 
     async def main() -> None:
         held = Held()
--- a/tests/test_audit_lists.py
+++ b/tests/test_audit_lists.py
@@ -21,24 +21,24 @@
     return stored is not None and stored[4] == "terminating"
 
 
-@pytest.mark.parametrize("kind", ["push", "ask"])
+@pytest.mark.parametrize("mode", ["push", "ask"])
 @pytest.mark.parametrize("failure", ["silent watch", "silent calls", "silent calls after a reload"])
-def test_a_drain_is_received_in_time_whatever_failed_before(kind: str, failure: str) -> None:
+def test_a_drain_is_received_in_time_whatever_failed_before(mode: str, failure: str) -> None:
     """The open watch, later calls for a while, or the new address after a reload get no answer."""
 
     async def main() -> None:
         host = await Peer(lambda words: served()).start()
-        lines = [HostListEntry("h0", host.dial, "east", 0), HostListEntry("h1", host.dial, "east", 0)]
-        first, second = DiscoveryService(lines), DiscoveryService(lines)
+        entries = [HostListEntry("h0", host.dial, "east", 0), HostListEntry("h1", host.dial, "east", 0)]
+        first, second = DiscoveryService(entries), DiscoveryService(entries)
         addresses = [await service.listen("gateway") for service in (first, second)]
-        async with World(wire={"discovery": kind}) as world:
+        async with World(wire={"discovery": mode}) as world:
             discovery = world.parts.discovery
             discovery.address = addresses[0]
             discovery.apply({"seq": 1, "whole": True, "hosts": [entry("h0", host.dial)]})
             discovery.start()
-            await asyncio.sleep(0.3)  # after the first calls with a short wait; this watch has the long one
+            await asyncio.sleep(0.3)  # after the first calls with a short wait: the next is the watch
             await asyncio.wait_for(first.wait_for_watchers(1), 10)
-            changed = lines[0].with_health("terminating")
+            changed = entries[0].with_health("terminating")
             for watcher in list(first.watchers):
                 watcher.stop_waiting()  # the open watch never gets an answer
             first.silent = second.silent = True
--- a/tests/test_audit_repeats.py
+++ b/tests/test_audit_repeats.py
@@ -1,4 +1,4 @@
-"""Rules for repeats: a refusal promises that another try is harmless, and a repeat leaves time for delays."""
+"""Rules for repeats: a refusal means that another try is harmless, and a repeat leaves time for delays."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 def test_a_refusal_is_sent_only_while_hosts_still_drop_a_repeat() -> None:
-    """The first attempt may have run; a client that tries again after the window is served a second time."""
+    """The first attempt may have run; after the window, another try of the client would run a second time."""
 
     async def main() -> None:
         classes = [one | {"window_ms": 300, "group": "all"} for one in WIRE["classes"]]
--- a/tests/test_node_control.py
+++ b/tests/test_node_control.py
@@ -239,7 +239,7 @@
     run(main())
 
 
-def test_module_skips_suspect_and_draining_hosts_and_is_ready_only_with_usable_host() -> None:
+def test_decision_module_skips_suspect_and_draining_hosts_and_is_ready_only_with_usable_host() -> None:
     drive = Drive(settings(counter=False, limits=LIMITS), fleet=3)
     assert (drive.gate.listed_count(), drive.gate.skipped_count(), drive.gate.is_ready(drive.now)) == (
         3,
--- a/tests/test_node_hosts.py
+++ b/tests/test_node_hosts.py
@@ -210,17 +210,17 @@
         async with World(lambda words: served(b"leaves"), lambda words: served(b"stays")) as world:
             pools, discovery = world.parts.pools, world.parts.discovery
             client = await world.client()
-            start, held = pools.start, list[Attempt]()
+            start, held_attempts = pools.start, list[Attempt]()
 
             def hold(attempt: Attempt) -> None:
-                held.append(attempt)
+                held_attempts.append(attempt)
 
             pools.start = hold  # type: ignore[method-assign]
             client.ask(b"1")
-            while not held:
+            while not held_attempts:
                 await asyncio.sleep(0)
-            leaving = 0 if held[0].host == 1 else 1
-            start(held[0])  # the connect is under way
+            leaving = 0 if held_attempts[0].host == 1 else 1
+            start(held_attempts[0])  # the connect is under way
             pools.start = start  # type: ignore[method-assign]
             hosts = [entry(f"h{n}", host.dial) for n, host in enumerate(world.hosts)]
             if health == "unnamed":
@@ -342,22 +342,22 @@
             lambda words: b"-ERR failed\r\n", lambda words: b"-ERR failed\r\n", wire={"classes": classes}
         ) as world:
             node, pools, client = world.parts.node, world.parts.pools, await world.client()
-            start, held = pools.start, list[Attempt]()
+            start, held_attempts = pools.start, list[Attempt]()
 
             def hold(attempt: Attempt) -> None:
-                held.append(attempt)
-                if len(held) == 1:
+                held_attempts.append(attempt)
+                if len(held_attempts) == 1:
                     start(attempt)
 
             pools.start = hold  # type: ignore[method-assign]
             client.ask(b"1", b"send", extra=b"k=77,", body=b"x")
-            while len(held) < 2:
+            while len(held_attempts) < 2:
                 await asyncio.sleep(0)
             pools.start = start  # type: ignore[method-assign]
             if late:
                 now = node.clock.now
                 node.clock.now = lambda: now() + 1000.0  # type: ignore[method-assign]
-            start(held[1])
+            start(held_attempts[1])
             # All hosts know its key, but only for the window: after that a repeat would run a second time.
             assert await client.answer() == ("-ERR failed" if late else "-BUSY")
             written = sum(host.commands.qsize() for host in world.hosts)
--- a/tests/test_node_lists_at_scale.py
+++ b/tests/test_node_lists_at_scale.py
@@ -68,7 +68,7 @@
 
 
 @pytest.mark.parametrize("size", SIZES)
-def test_attempts_that_wait_for_leaving_hosts_are_returned_without_iterating_over_all_pools(
+def test_attempts_that_wait_for_leaving_hosts_end_without_iterating_over_all_pools(
     size: int,
 ) -> None:
     async def main() -> None:
@@ -136,8 +136,8 @@
     run(main())
 
 
-def test_an_attempt_to_a_leaving_host_is_returned_with_the_next_list() -> None:
-    """The module sent it in the same turn of the event loop, before it received the list."""
+def test_an_attempt_at_a_leaving_host_ends_with_the_next_list() -> None:
+    """The decision module sent it in the same turn of the event loop, before it received the list."""
 
     async def main() -> None:
         async with World(lambda words: served()) as world:
@@ -444,16 +444,16 @@
     run(main())
 
 
-@pytest.mark.parametrize("known_first", [True, False])
-def test_the_last_entry_of_a_host_counts(known_first: bool, monkeypatch: pytest.MonkeyPatch) -> None:
+@pytest.mark.parametrize("stored_last", [True, False])
+def test_the_last_entry_of_a_host_counts(stored_last: bool, monkeypatch: pytest.MonkeyPatch) -> None:
     async def main() -> None:
         harness = DiscoveryHarness(monkeypatch, 1000)
         same, other = _host(7), _host(7, health="terminating", dial="127.0.0.1:9")
         hosts = [host for host in _hosts(1000) if host["host"] != "host-7"]
-        twice = [same, other, same] if known_first else [same, other]
+        twice = [same, other, same] if stored_last else [same, other]
         await harness.discovery.apply_without_blocking(_list(2, [*twice, *hosts]))
         pool = harness.pools.pools[harness.discovery.table.numbers["host-7"]]
-        assert pool.is_leaving is not known_first and harness.states() == [DRAINING] * (not known_first)
+        assert pool.is_leaving is not stored_last and harness.states() == [DRAINING] * (not stored_last)
 
     run(main())
 
@@ -517,7 +517,7 @@
 
 
 class ListModel:
-    """A simple model of the hosts that remain after lists and changes."""
+    """A simple model of the hosts that remain after full lists and changes."""
 
     def __init__(self) -> None:
         self.hosts: dict[str, tuple[it.HostState, str]] = {}
@@ -525,11 +525,11 @@
     def apply(self, answer: dict[str, Any]) -> None:
         if answer["whole"]:
             named = {host["host"] for host in answer["hosts"]}
-            self.hosts = {name: held for name, held in self.hosts.items() if name in named}
+            self.hosts = {name: known for name, known in self.hosts.items() if name in named}
         for host in answer["hosts"]:
             state = {"in_service": READY, "terminating": DRAINING, "terminated": GONE}[host["health"]]
             self.hosts[host["host"]] = state, host["dial"]
-        self.hosts = {name: held for name, held in self.hosts.items() if held[0] is not GONE}
+        self.hosts = {name: known for name, known in self.hosts.items() if known[0] is not GONE}
 
 
 class FakeLoop:
--- a/tests/test_node_services.py
+++ b/tests/test_node_services.py
@@ -1,4 +1,4 @@
-"""The counter and discovery clients of a gateway, its timers, and exceptions in the module."""
+"""The counter and discovery clients of a gateway, its timers, and exceptions in the decision module."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 class CounterHarness:
-    """Receives the results of counter calls in place of the module."""
+    """Receives the results of counter calls in place of the decision module."""
 
     def __init__(self, world: World) -> None:
         self.events: asyncio.Queue[it.CountAnswered] = asyncio.Queue()
@@ -56,7 +56,7 @@
     run(main())
 
 
-def test_busy_adds_nothing() -> None:
+def test_a_busy_answer_of_the_counter_ends_its_call_as_full() -> None:
     async def main() -> None:
         async with World(counter=lambda words: b"-BUSY\r\n") as world:
             harness = CounterHarness(world)
@@ -142,7 +142,7 @@
     run(main())
 
 
-def _next(answers: Iterator[bytes], words: list[bytes]) -> bytes:
+def _next_answer(answers: Iterator[bytes], words: list[bytes]) -> bytes:
     return next(answers, b"$1\r\n1\r\n")
 
 
@@ -160,7 +160,7 @@
             b"$999999999\r\n1",
         ):
             answers = iter([garbage])
-            async with World(lambda words: served(), counter=partial(_next, answers)) as world:
+            async with World(lambda words: served(), counter=partial(_next_answer, answers)) as world:
                 client = await world.client()
                 client.ask(b"1")
                 assert await client.answer() in (b"value", "-BUSY")
@@ -173,7 +173,7 @@
 
 
 class DiscoveryHarness:
-    """A discovery client of an agent that the test plays."""
+    """A discovery client whose agent is controlled by the test."""
 
     def __init__(self, world: World, agent: Agent) -> None:
         self.lists: asyncio.Queue[it.HostList] = asyncio.Queue()
@@ -191,7 +191,7 @@
 
 
 async def _run_with_watch(test: Any) -> None:
-    """Run `test(harness)` while a watch is open from version 5, a list of the hosts a and b."""
+    """Run `test(harness)` while a watch is open from version 5, the list of the hosts a and b."""
     async with World() as world:
         agent = await Agent().start()
         harness = DiscoveryHarness(world, agent)
@@ -230,10 +230,7 @@
 
 @pytest.mark.parametrize("damage", [None, "entry", "empty"])
 def test_a_start_watches_from_the_cached_version_unless_that_list_is_damaged(damage: str | None) -> None:
-    """Guards against an overload of discovery when many gateways, such as 28, restart together.
-
-    Discovery was overloaded because all of them fetched full lists.
-    """
+    """Guards against an overload of discovery when many gateways, such as 28, all fetch full lists."""
 
     async def main() -> None:
         async with World() as world:
@@ -256,9 +253,9 @@
 def test_a_start_with_a_cached_list_makes_its_first_call_within_half_a_second(
     gateways: int, mode: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Guards against a start that makes its first call after 3 s.
+    """Guards against requests to hosts that went away while the gateway was down.
 
-    It sent requests to hosts that had gone while the gateway was down.
+    Such requests were sent when the first call came only 3 s after the start.
     """
 
     async def main() -> None:
@@ -314,8 +311,8 @@
 ) -> float:
     """Return how long, in s, a client takes to receive a change that discovery has from time `until` on.
 
-    The time is simulated. The first call is answered at 0. All later calls fail, the open watch too, until
-    discovery can be reached and has the change. It then answers as late as the client's timeout permits.
+    The time is simulated. The first call is answered at 0. All later calls, including the watch, fail before
+    `until`. After that, discovery answers as late as the client's timeout permits.
     """
     discovery, now, calls = harness.discovery, 0.0, 0
     discovery.version = 5
@@ -351,9 +348,9 @@
 def test_a_change_is_received_within_6_s_after_discovery_has_it_and_can_be_reached(
     gateways: int, mode: str, error: Exception, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Watch, delays and timeouts together must stay below 6 s.
+    """The wait of a watch, the delays and the timeouts together must stay below 6 s.
 
-    Guards against delays that grow with the number of gateways: in ask mode they reached 20 s at 200.
+    Guards against delays that grow with the number of gateways: in ask mode with 200 they reached 20 s.
     """
 
     async def main() -> None:
@@ -393,7 +390,7 @@
 def test_calls_to_an_agent_are_retried_well_within_the_drain_grace_for_any_number_of_gateways(
     gateways: int, error: Exception, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Guards against 200 gateways that wait 10 to 30 s and go on sending to hosts announced as leaving."""
+    """Guards against retries after 10 to 30 s, as with 200 gateways: hosts that leave still get requests."""
 
     async def main() -> None:
         delays = await _collect_retry_delays(gateways, "push", error, 50, monkeypatch)
@@ -407,7 +404,7 @@
 def test_a_failed_watch_is_retried_soon_in_ask_mode_too(
     gateways: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """A gateway must know a change within 6 s, and a watch without an answer takes 3.5 s of these."""
+    """A gateway must know a change within 6 s, and a watch without an answer takes 3.5 s of that time."""
 
     async def main() -> None:
         for error in (TimeoutError(), ConnectionResetError()):
@@ -458,9 +455,9 @@
 def test_older_lists_change_nothing_until_discovery_must_have_restarted_its_numbering(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Calls are repeated so soon that three older lists arrive within a second.
+    """Several older lists may arrive within a second, because calls are repeated without a delay.
 
-    Their number therefore doesn't prove that discovery restarted its numbering; only their age does.
+    Their number therefore doesn't prove that discovery restarted its numbering; only the elapsed time does.
     """
 
     async def test(harness: DiscoveryHarness) -> None:
@@ -541,11 +538,11 @@
 
 def test_an_indented_list_is_accepted_and_a_truncated_one_changes_nothing() -> None:
     async def test(harness: DiscoveryHarness) -> None:
-        whole = json.dumps({"seq": 6, "whole": True, "hosts": [entry("a", "127.0.0.1:1")]}, indent=4).encode()
-        harness.agent.put(whole[:-20])
+        body = json.dumps({"seq": 6, "whole": True, "hosts": [entry("a", "127.0.0.1:1")]}, indent=4).encode()
+        harness.agent.put(body[:-20])
         assert "index=5&" in await soon(harness.agent.calls.get())
         assert harness.lists.empty()
-        harness.agent.put(whole)
+        harness.agent.put(body)
         assert await harness.next() == (it.ListKind.FULL, [(1, it.HostState.READY)])
 
     run(_run_with_watch(test))
@@ -565,7 +562,7 @@
     run(main())
 
 
-def test_a_timer_that_the_loop_fires_early_reaches_the_module_no_earlier_than_due() -> None:
+def test_a_timer_that_the_loop_fires_early_reaches_the_decision_module_no_earlier_than_due() -> None:
     async def main() -> None:
         async with World() as world:
             node, fired = world.parts.node, asyncio.Event()
@@ -584,7 +581,7 @@
     run(main())
 
 
-def test_an_exception_in_the_module_loses_no_request_and_no_timer() -> None:
+def test_an_exception_in_the_decision_module_loses_no_request_and_no_timer() -> None:
     async def main() -> None:
         async with World(lambda words: served()) as world:
             node = world.parts.node
--- a/tests/test_standing_hosts.py
+++ b/tests/test_standing_hosts.py
@@ -118,12 +118,12 @@
     run(main())
 
 
-@pytest.mark.parametrize("over", [False, True])
-def test_a_keyed_request_is_repeated_only_inside_its_window(over: bool) -> None:
+@pytest.mark.parametrize("after_window", [False, True])
+def test_a_keyed_request_is_repeated_only_inside_its_window(after_window: bool) -> None:
     """The window is shorter than the deadline; the first attempt breaks off inside the window or after it."""
 
     async def main() -> None:
-        window = 300 if over else 5000
+        window = 300 if after_window else 5000
         classes = [one | {"window_ms": window, "group": "all"} for one in WIRE["classes"]]
         first = asyncio.Event()
 
@@ -131,15 +131,16 @@
             if first.is_set():
                 return served()
             first.set()
-            await asyncio.sleep(0.5 if over else 0)
+            await asyncio.sleep(0.5 if after_window else 0)
             return Peer.RESET
 
         async with World(handler, handler, wire={"classes": classes}) as world:
             client = await world.client()
             client.ask(b"1", b"send", extra=b"k=77,", body=b"x")
             answer = await client.answer()
-            assert answer == ("-ERR failed" if over else b"value")  # over: a repeat would run a second time
-            assert sum(host.commands.qsize() for host in world.hosts) == (1 if over else 2)
+            # After the window a repeat would run a second time.
+            assert answer == ("-ERR failed" if after_window else b"value")
+            assert sum(host.commands.qsize() for host in world.hosts) == (1 if after_window else 2)
             client.writer.close()
             await world.emptied()
 
--- a/tests/test_standing_process.py
+++ b/tests/test_standing_process.py
@@ -19,7 +19,7 @@
 from tests.program import descriptors, program
 from tests.sockets import WIRE, Client, Discovery, Peer, Totals, World, entry, run, served, soon
 
-# Settings with which the shutdown ends soon.
+# Short deadlines, so that the shutdown ends soon.
 SHORT_DEADLINES = {"classes": [one | {"hard_limit_ms": 900} for one in WIRE["classes"]]}
 FIELDS = b"c=%s,t=basic,d=800,units=1,spread=1,first=0"
 
@@ -82,7 +82,7 @@
 
 
 def test_every_request_taken_before_the_end_is_answered() -> None:
-    """Clients send as long as their connections are open; they may send again what was not taken."""
+    """Clients send as long as their connections are open; requests that were not taken may be sent again."""
 
     async def main() -> None:
         loop = asyncio.get_running_loop()
@@ -221,14 +221,14 @@
 
     async def main() -> None:
         async with World(lambda words: served(), counter=lambda words: None) as world:
-            client, moved = await world.client(), await Peer(Totals()).start()
+            client, new_counter = await world.client(), await Peer(Totals()).start()
             client.ask(b"1")
             await soon(world.counter.commands.get())
-            world.parts.counter.move(moved.address)
+            world.parts.counter.move(new_counter.address)
             await soon(world.counter.closed.get())
             client.ask(b"2")
-            await soon(moved.commands.get())
-            moved.server.close()
+            await soon(new_counter.commands.get())
+            new_counter.server.close()
 
     run(main())
 
