--- a/rainturn/emulator/client_load.py
+++ b/rainturn/emulator/client_load.py
@@ -13,7 +13,7 @@
 
 from rainturn.emulator.hollow import request_words
 from rainturn.emulator.workload import CLASSES, DrawnRequest
-from rainturn.node.resp import pack
+from rainturn.node.resp import encode_array
 
 WRITE_BODY = b"b" * 200
 MAX_RECORDED_US = 60_000_000
@@ -77,7 +77,9 @@
     def send_request(self, number: int, drawn: DrawnRequest) -> None:
         """Send a request on an idle connection or on a new one, or queue it if there are too many."""
         words = request_words(number, drawn)
-        command = pack(words if CLASSES[drawn.class_index].effect == "retryable" else [*words, WRITE_BODY])
+        command = encode_array(
+            words if CLASSES[drawn.class_index].effect == "retryable" else [*words, WRITE_BODY]
+        )
         self.sent_count += 1
         while self.idle_connections:
             connection = self.idle_connections.pop()
@@ -146,7 +148,7 @@
     try:
         async with asyncio.timeout(1.0):
             reader, writer = await asyncio.open_connection(*address)
-            writer.write(pack((b"PING",)))
+            writer.write(encode_array((b"PING",)))
             return await reader.readline() == b"+PONG\r\n"
     except (OSError, TimeoutError):
         return False
--- a/rainturn/node/assembly.py
+++ b/rainturn/node/assembly.py
@@ -33,7 +33,7 @@
         """Raise RuntimeError: without a counter, no call is permitted."""
         raise RuntimeError("the settings permit no counter calls")
 
-    def move(self, address: tuple[str, int]) -> None:
+    def change_address(self, address: tuple[str, int]) -> None:
         """Ignore a new address."""
 
 
@@ -91,7 +91,7 @@
 
     def set_in_service(in_service: bool) -> Answer:
         log.info("control: %s", "in service" if in_service else "out of service")
-        node.feed(it.InService(in_service))
+        node.dispatch(it.InService(in_service))
         clients.set_in_service(in_service)
         return HTTPStatus.OK, "in service\n" if in_service else "out of service\n"
 
@@ -145,4 +145,4 @@
         parts.split_budget(
             max(8, parts.connection_budget - max(parts.connection_budget // 2, other_descriptors))
         )
-    parts.node.feed(it.ProcessOverlap(other_descriptors is not None))
+    parts.node.dispatch(it.ProcessOverlap(other_descriptors is not None))
--- a/rainturn/node/body.py
+++ b/rainturn/node/body.py
@@ -34,7 +34,7 @@
         "is_discarded",
         "was_forwarded",
         "resume_reading",
-        "taken",
+        "has_request",
     )
 
     def __init__(self, arguments: list[bytes], length: int) -> None:
@@ -43,7 +43,7 @@
         self.held_bytes = 0  # total size of `pieces`
         self.sink: Sink | None = None
         self.fully_received = self.was_forwarded = False
-        self.taken = False  # whether its request has begun, when only the arguments before it had arrived
+        self.has_request = False  # whether its request has begun, before the body itself has arrived
         self.is_discarded = False  # whether its request has ended: the rest is read and dropped
         self.resume_reading: Callable[[], None] = lambda: None  # called when more may be read
 
@@ -58,7 +58,7 @@
             return not self.sink.has_unsent_bytes
         return self.is_discarded or self.held_bytes < MAX_BUFFERED_BYTES
 
-    def feed(self, data: bytes) -> None:
+    def add_piece(self, data: bytes) -> None:
         """Add a piece that has arrived."""
         self.bytes_left -= len(data)
         if self.sink is not None:
--- a/rainturn/node/client_connection.py
+++ b/rainturn/node/client_connection.py
@@ -161,7 +161,7 @@
         """Read the available bytes of a body; return the position after them and whether it is complete."""
         piece = data[position : position + body.bytes_left]
         if piece:
-            body.feed(piece)
+            body.add_piece(piece)
         position += len(piece)
         tail = data[position : position + 2]
         if body.bytes_left or len(tail) < 2:
@@ -286,7 +286,7 @@
         self.closing, self.body = True, None
         self.timeouts.awaiting_valid_command.pop(self, None)
         request, self.upload_request = self.upload_request, None
-        if request is not None and not request.done:
+        if request is not None and not request.is_finished:
             self.node.abandon_request(request)  # its body was never complete; the error below is its reply
             if request in self.pending:
                 self.pending.remove(request)
@@ -348,7 +348,7 @@
         Guards against an error waiting for a long time behind open requests.
         """
         for entry in list(self.pending):
-            if isinstance(entry, Request) and not entry.done and entry.value_source is None:
+            if isinstance(entry, Request) and not entry.is_finished and entry.value_source is None:
                 self.node.end_request_now(entry)
 
     # Sent replies.
--- a/rainturn/node/counter.py
+++ b/rainturn/node/counter.py
@@ -9,7 +9,7 @@
 
 from rainturn import interface as it
 from rainturn.node.gateway import Node
-from rainturn.node.resp import OutgoingConnection, ProtocolError, pack, parse_counter_answer
+from rainturn.node.resp import OutgoingConnection, ProtocolError, encode_array, parse_counter_answer
 from rainturn.node.system_errors import connect
 
 log = logging.getLogger(__name__)
@@ -21,7 +21,7 @@
 MAX_AMOUNT = 1e9  # largest amount of a call in the protocol
 AMOUNT_DECIMALS = 6  # the totals of the counter are exact to seven digits
 RECONNECT_DELAY_MS = 100.0  # after a failed connect
-RETIRE_S = 2.0  # time for the last answers of a counter that has moved; its old address may close sooner
+DRAIN_TIMEOUT_S = 2.0  # time for the last answers from a former address, which may close sooner
 
 
 class CounterCall:
@@ -48,7 +48,9 @@
         self.counter = counter
         self.calls: deque[CounterCall] = deque()  # in the order of their answers
         self.received_at = self.sent_at = counter.node.clock.now()  # times of the last bytes, Unix time in ms
-        self.retiring = False  # whether the counter has moved: the connection closes after its last answer
+        self.is_draining = (
+            False  # whether the address has changed; the connection closes after its last answer
+        )
 
     def write(self, call: CounterCall, now: float) -> None:
         """Send a call."""
@@ -86,7 +88,7 @@
             # Guards against matching an answer to the wrong call. The amounts of open calls may have been
             # added.
             return self.close()
-        if self.retiring and not self.calls:
+        if self.is_draining and not self.calls:
             self.close()
 
     def close(self) -> None:
@@ -129,18 +131,18 @@
         self.retry_at = 0.0  # earliest time of the next connect, Unix time in ms
         self.stopped = False
 
-    def move(self, address: tuple[str, int]) -> None:
+    def change_address(self, address: tuple[str, int]) -> None:
         """Make further calls to another address; those already sent may still be answered."""
         if address == self.address:
             return
         self.address, self.retry_at = address, 0.0
         connections, self.connections = self.connections, []
         for connection in connections:
-            connection.retiring = True
+            connection.is_draining = True
             if connection.calls:
                 # Guards against an unreachable counter keeping the connection open for good: no further call
                 # would detect it.
-                self.node.loop.call_later(RETIRE_S, connection.close)
+                self.node.loop.call_later(DRAIN_TIMEOUT_S, connection.close)
             else:
                 connection.close()
 
@@ -148,7 +150,9 @@
         """Begin a call: add `amount` to the count `name`, which expires after `ttl` ms if it is new."""
         now = self.node.clock.now()
         ttl_ms = max(1, min(MAX_TTL_MS, round(ttl)))
-        call = CounterCall(name, pack((b"ADDGET", b"%d" % name, encode_amount(amount), b"%d" % ttl_ms)), now)
+        call = CounterCall(
+            name, encode_array((b"ADDGET", b"%d" % name, encode_amount(amount), b"%d" % ttl_ms)), now
+        )
         self.calls_by_age.append(call)
         if self.timeout_timer is None:
             self.timeout_timer = self.node.loop.call_later(self.timeout_ms / 1000, self._time_out)
@@ -179,7 +183,7 @@
                 connection: CounterConnection | None = None
                 with contextlib.suppress(OSError):
                     connection = await connect(loop, lambda: CounterConnection(self), address, limit_s)
-                if address != self.address:  # the counter moved during the connect
+                if address != self.address:  # the address changed during the connect
                     if connection is not None:
                         connection.close()
                     continue
@@ -215,7 +219,7 @@
         """Report the outcome of a call to the decision module, once. `total` counts only for `Outcome.OK`."""
         if not call.ended:
             call.ended = True
-            self.node.feed(
+            self.node.dispatch(
                 it.CountAnswered(call.name, outcome, total, self.node.clock.now() - call.started_at)
             )
 
--- a/rainturn/node/discovery.py
+++ b/rainturn/node/discovery.py
@@ -112,7 +112,7 @@
         self.rng = random.Random(seed)
         self.writer: asyncio.StreamWriter | None = None
         self.watch_task: asyncio.Task[None] | None = None
-        self.move_count = 0  # address changes; a list from an earlier address doesn't set `seq`
+        self.address_change_count = 0  # a list from an earlier address doesn't set `seq`
         self._steps: Iterator[None] = iter(())  # the remaining steps of the list that is being applied
         self._apply_task: asyncio.Task[None] | None = None
 
@@ -135,7 +135,7 @@
                     await task
         self._close_connection()
 
-    def move(self, address: tuple[str, int]) -> None:
+    def change_address(self, address: tuple[str, int]) -> None:
         """Switch to another discovery address and fetch the full list there at once.
 
         The new address may number its versions differently. A call that the old address has not answered is
@@ -146,7 +146,7 @@
             self.watch_task.cancel()
         self._close_connection()
         self.address, self.seq, self.older_since = address, None, None
-        self.move_count += 1
+        self.address_change_count += 1
         self.start()
 
     # Application of lists.
@@ -172,7 +172,8 @@
         self._check_version(update)
         self._steps = self._apply_in_steps(update)
         self._apply_task = self.node.loop.create_task(self._run_steps())
-        await asyncio.shield(self._apply_task)  # `move` cancels the polling, but not a received list
+        # `change_address` cancels the polling, but not a received list.
+        await asyncio.shield(self._apply_task)
 
     def _check_version(self, update: HostListUpdate) -> None:
         """Raise a ValueError if an update is older than the applied list."""
@@ -192,9 +193,9 @@
         self.seq = update.version if (is_full_list and is_well_formed) or not cached else None
 
     def _apply_in_steps(self, update: HostListUpdate) -> Iterator[None]:
-        move_count = self.move_count
+        address_change_count = self.address_change_count
         yield from self.updater.apply_in_steps(update)
-        if move_count == self.move_count:
+        if address_change_count == self.address_change_count:
             self.seq = update.version
 
     async def _run_steps(self) -> None:
--- a/rainturn/node/gateway.py
+++ b/rainturn/node/gateway.py
@@ -51,7 +51,7 @@
     """Makes calls to the shared counter."""
 
     def call(self, name: int, amount: float, ttl: float) -> None:
-        """Begin a call. Its outcome is passed to `Node.feed`."""
+        """Begin a call. Its outcome is passed to `Node.dispatch`."""
 
 
 class Node:
@@ -88,7 +88,7 @@
 
     # Events and actions.
 
-    def feed(self, event: it.Event) -> None:
+    def dispatch(self, event: it.Event) -> None:
         """Pass an event to the decision module and carry out its actions.
 
         Events that occur while actions are carried out are queued until these actions are done.
@@ -117,7 +117,7 @@
             number = getattr(event, "request", None)
             if number in self.requests:
                 actions = [*actions, it.Fail(number)]
-            self.loop.call_later(TIMER_RECHECK_MS / 1000, self.feed, it.TimerFired(0))
+            self.loop.call_later(TIMER_RECHECK_MS / 1000, self.dispatch, it.TimerFired(0))
         for action in actions:
             try:
                 self._action_handlers[type(action)](action, now)
@@ -133,7 +133,7 @@
     def _forget_if_finished(self, number: int) -> None:
         """Drop a request that has ended and has no open attempt. The decision module knows of its end."""
         request = self.requests.get(number)
-        if request is not None and request.done and not request.open_attempts:
+        if request is not None and request.is_finished and not request.open_attempts:
             del self.requests[number]
             self.request_ids.discard(request.arguments[2])
             self.held_bytes -= request.held_bytes
@@ -150,14 +150,14 @@
         self.held_bytes += request.held_bytes
         if request.body is None:
             self._set_deadline(request)
-        self.feed(request.arrival)
+        self.dispatch(request.arrival)
 
     def complete_body(self, request: Request, deadline: float) -> None:
         """Set the deadline (Unix time in ms) of a request whose streamed body has arrived completely."""
-        if not request.done:
+        if not request.is_finished:
             request.deadline = deadline
             self._set_deadline(request)
-            self.feed(it.BodyComplete(request.number, deadline))
+            self.dispatch(it.BodyComplete(request.number, deadline))
 
     def _set_deadline(self, request: Request) -> None:
         delay = max(0.0, request.deadline - self.clock.now()) / 1000
@@ -165,15 +165,15 @@
 
     def in_progress(self) -> int:
         """Return how many requests have arrived completely and have not ended."""
-        return sum(not request.done and request.is_complete() for request in self.requests.values())
+        return sum(not request.is_finished and request.is_complete() for request in self.requests.values())
 
     def abandon_request(self, request: Request) -> None:
         """End a request whose client has disconnected; it gets no answer."""
-        if request.done:
+        if request.is_finished:
             return
         streaming = not request.is_complete() or request.value_source is not None
         self._finish_request(request, None)
-        self.feed(it.RequestGone(request.number))
+        self.dispatch(it.RequestGone(request.number))
         for attempt in request.attempts if streaming else ():
             if attempt is not None:  # an incomplete command never runs, and a value has no recipient
                 self.hosts.drop(attempt)
@@ -188,7 +188,7 @@
         for attempt in request.attempts:
             if attempt is not None:
                 self._time_out(attempt)
-        if not request.done:
+        if not request.is_finished:
             # Guards against a request that the decision module has lost or holds too long: rule 1 demands an
             # answer to every request.
             log.warning("request without an answer at its deadline")
@@ -206,17 +206,17 @@
         else:
             self._finish_request(request, Ending.BAD_GATEWAY)
             request.client.send_failure(request)
-        self.feed(it.RequestGone(request.number))
+        self.dispatch(it.RequestGone(request.number))
 
     def _cut_value(self, request: Request) -> None:
         """End a request whose long value has begun and cannot be completed."""
         self._finish_request(request, Ending.BAD_GATEWAY)
         request.client.cut_value(request)
-        self.feed(it.RequestGone(request.number))
+        self.dispatch(it.RequestGone(request.number))
 
     def _finish_request(self, request: Request, ending: Ending | None) -> None:
         """Mark a request as ended, once. With the ending None its client left, and no metric counts it."""
-        request.done = True
+        request.is_finished = True
         if request.body is not None:
             request.body.discard_rest()
         if ending is not None:
@@ -229,7 +229,7 @@
         Returns None if it has ended since the action was decided, or if a long value has begun.
         """
         request = self.requests.get(number)
-        return None if request is None or request.done or request.value_source is not None else request
+        return None if request is None or request.is_finished or request.value_source is not None else request
 
     def _refuse(self, action: it.Refuse, now: float) -> None:
         request = self._answerable_request(action.request)
@@ -250,7 +250,9 @@
     def _send(self, action: it.Send, now: float) -> None:
         request = self.requests.get(action.request)
         if request is None:
-            return self.feed(it.AttemptEnded(action.request, 0, action.host, it.Outcome.NOT_SENT, 0.0, True))
+            return self.dispatch(
+                it.AttemptEnded(action.request, 0, action.host, it.Outcome.NOT_SENT, 0.0, True)
+            )
         deadline = min(request.deadline, now + action.timeout) if action.timeout else request.deadline
         attempt = Attempt(
             request, len(request.attempts), action.host, now, deadline, now + action.start_within
@@ -258,7 +260,7 @@
         request.attempts.append(attempt)
         request.open_attempts += 1
         limit = self.settings.limits.max_attempts
-        if request.done or attempt.number >= limit or deadline <= now:
+        if request.is_finished or attempt.number >= limit or deadline <= now:
             return self.end_attempt(attempt, it.Outcome.NOT_SENT)
         if deadline < request.deadline:
             attempt.timer = self.loop.call_later((deadline - now) / 1000, self._time_out, attempt)
@@ -284,14 +286,14 @@
         Returns False, and streams nothing, if the request has already ended.
         """
         request = attempt.request
-        if request.done:
+        if request.is_finished:
             return False
         request.value_source = source
         for timer in (request.deadline_timer, attempt.timer):
             if timer is not None:
                 timer.cancel()
         request.client.begin_value(request, length)
-        self.feed(it.StreamBegan(request.number, attempt.number))
+        self.dispatch(it.StreamBegan(request.number, attempt.number))
         return True
 
     def end_attempt(self, attempt: Attempt, outcome: it.Outcome, value: bytes = b"") -> None:
@@ -308,25 +310,25 @@
             attempt.timer.cancel()
         if outcome not in (it.Outcome.FULL, it.Outcome.UNREACHABLE, it.Outcome.NOT_SENT):
             request.may_have_run = True
-        if request.value_source is not None and not request.done:
+        if request.value_source is not None and not request.is_finished:
             if outcome is it.Outcome.OK:
                 self._finish_request(request, Ending.PASSED)
                 request.client.end_value(request)
             else:
                 self._cut_value(request)
-        elif outcome is it.Outcome.OK and not request.done:
+        elif outcome is it.Outcome.OK and not request.is_finished:
             self._finish_request(request, Ending.PASSED)
             request.client.send_value(request, value)
         elapsed = max(0.0, self.clock.now() - attempt.started_at)
         body_consumed = request.body is not None and request.body.was_forwarded
-        self.feed(
+        self.dispatch(
             it.AttemptEnded(
                 request.number,
                 attempt.number,
                 attempt.host,
                 outcome,
                 elapsed,
-                request.done,
+                request.is_finished,
                 body_consumed=body_consumed,
             )
         )
@@ -349,4 +351,4 @@
         if self.clock.now() < due:
             self.loop.call_later(0.001, self._on_timer, due, token)
         else:
-            self.feed(it.TimerFired(token))
+            self.dispatch(it.TimerFired(token))
--- a/rainturn/node/host_connection.py
+++ b/rainturn/node/host_connection.py
@@ -16,8 +16,8 @@
     ProtocolError,
     check_fields,
     count_unsent_bytes,
+    encode_array,
     end_sending,
-    pack,
     parse_answer,
 )
 
@@ -57,8 +57,8 @@
     fields_sent = b"%sd=%d%s" % (request.fields_before_deadline, time_left_ms, request.fields_after_deadline)
     words = [*request.arguments[:3], fields_sent, *request.arguments[4:]]
     if request.body is None:
-        return pack(words)
-    return b"*%d%s$%d\r\n" % (len(words) + 1, pack(words)[2:], request.body.length)
+        return encode_array(words)
+    return b"*%d%s$%d\r\n" % (len(words) + 1, encode_array(words)[2:], request.body.length)
 
 
 class HostConnection(OutgoingConnection):
@@ -195,7 +195,7 @@
         if attempt is None or self.value_bytes_left is None:
             return self.close()
         request = attempt.request
-        if request.done:
+        if request.is_finished:
             return self.close(it.Outcome.CANCELLED)
         piece = data[: self.value_bytes_left]
         self.value_bytes_left -= len(piece)
--- a/rainturn/node/host_pools.py
+++ b/rainturn/node/host_pools.py
@@ -109,7 +109,7 @@
         """Send an attempt unless it became pointless while it waited; returns whether it was sent."""
         node, now = self.node, self.node.clock.now()
         request = attempt.request
-        if request.done or self.leaving or now > attempt.begin_by or not request.client.is_connected():
+        if request.is_finished or self.leaving or now > attempt.begin_by or not request.client.is_connected():
             # Guards against a connection that comes up late: the request may have ended (rule 1), the hosts
             # may have forgotten its key (rule 2), or the host may have begun to leave (rule 3). Also guards
             # against a client that has left while the gateway has not read that yet, because reading is
--- a/rainturn/node/list_intake.py
+++ b/rainturn/node/list_intake.py
@@ -208,7 +208,7 @@
 
     def _feed(self, kind: it.ListKind, entries: list[it.HostEntry]) -> None:
         """Send the module a list event, and then return the attempts that wait for hosts that leave."""
-        self.node.feed(it.HostList(kind, tuple(entries)))
+        self.node.dispatch(it.HostList(kind, tuple(entries)))
         self.pools.return_waiting()
 
     def _is_unlisted(self, host: ListedHost) -> bool:
--- a/rainturn/node/reload.py
+++ b/rainturn/node/reload.py
@@ -48,6 +48,6 @@
             *config.discovery,
             *(config.counter or ("none", 0)),
         )
-        self.parts.discovery.move(config.discovery)
+        self.parts.discovery.change_address(config.discovery)
         if config.counter is not None:
-            self.parts.counter.move(config.counter)
+            self.parts.counter.change_address(config.counter)
--- a/rainturn/node/requests.py
+++ b/rainturn/node/requests.py
@@ -67,7 +67,7 @@
         "refusal_valid_until",
         "attempts",
         "open_attempts",
-        "done",
+        "is_finished",
         "deadline_timer",
         "may_have_run",
         "held_bytes",
@@ -104,7 +104,7 @@
         self.value_source: ValueSource | None = None  # set once a long value has begun: the answer is fixed
         self.attempts: list[Attempt | None] = []  # by number; None: the attempt has ended
         self.open_attempts = 0
-        self.done = False  # whether its final answer is decided or its client has left
+        self.is_finished = False  # whether its final answer is decided or its client has left
         self.may_have_run = False  # whether an ended attempt may have run at its host
         self.deadline_timer: asyncio.TimerHandle | None = None
 
--- a/rainturn/node/resp.py
+++ b/rainturn/node/resp.py
@@ -79,7 +79,7 @@
     end: int
 
 
-def pack(arguments: Sequence[bytes]) -> bytes:
+def encode_array(arguments: Sequence[bytes]) -> bytes:
     """Encode a command as an array of bulk strings."""
     return b"*%d\r\n%s" % (len(arguments), b"".join([b"$%d\r\n%s\r\n" % (len(a), a) for a in arguments]))
 
--- a/rainturn/node/shutdown.py
+++ b/rainturn/node/shutdown.py
@@ -25,14 +25,14 @@
     """Accept a little longer, unless another process serves the listener; then answer all open requests."""
     loop, node = asyncio.get_running_loop(), parts.node
     end = loop.time() + answer_within_s(node.settings)
-    node.feed(it.ShuttingDown())
+    node.dispatch(it.ShuttingDown())
     if not is_handed_over:
         await asyncio.sleep(min(ACCEPT_AFTER_SIGTERM_S, end - loop.time()))
     await parts.clients.stop(not is_handed_over)
     parts.pools.close_idle()
     await parts.clients.wait_closed(end - loop.time())
     parts.clients.refuse_all()  # requests queued behind the ones below are taken, and refused, as those end
-    for request in [r for r in node.requests.values() if not r.done]:
+    for request in [r for r in node.requests.values() if not r.is_finished]:
         node.end_request_now(request)
     await parts.clients.close()
     await asyncio.sleep(LAST_COUNTS_S)
--- a/tests/soak.py
+++ b/tests/soak.py
@@ -30,7 +30,7 @@
 from rainturn.emulator.discovery_service import DiscoveryService
 from rainturn.emulator.traffic import format_address
 from rainturn.emulator.workload import HostListEntry
-from rainturn.node.resp import pack
+from rainturn.node.resp import encode_array
 from tests.program import config_file, started
 from tests.sockets import WIRE, reset
 
@@ -210,7 +210,7 @@
             )
             verb = b"API.READ" if kind == "read" else b"API.WRITE"
             words = [verb, b"%016x" % rng.randrange(1 << 33), ident, fields]
-            batch.append(pack(words if kind == "read" else [*words, b"body"]))
+            batch.append(encode_array(words if kind == "read" else [*words, b"body"]))
             self.pending.append(ident)
             self.day.requests[ident] = SentRequest(kind, int(patience_s * 1000) / 1000, loop.time())
         self._write(batch, self.pending[-len(batch) :])
@@ -362,7 +362,7 @@
                 continue
             began_at = loop.time()
             fields = b"c=read,t=basic,d=100,units=1,spread=1,first=0"
-            whole = pack([b"API.READ", b"%016x" % 7, b"bad", fields])
+            whole = encode_array([b"API.READ", b"%016x" % 7, b"bad", fields])
             half = whole[: self.rng.randrange(1, len(whole))]
             sent_data = self.rng.choice((b"", half, b"GET / HTTP/1.1\r\n\r\n"))
             writer.write(sent_data)
@@ -421,7 +421,7 @@
                 _, writer = await asyncio.open_connection(*self.address)
                 writers.append(writer)
                 if number % 2:
-                    writer.write(pack([b"PING"]))
+                    writer.write(encode_array([b"PING"]))
         return writers
 
     async def _reload(self, process: Any, path: str, listen: dict[str, Any]) -> None:
--- a/tests/sockets.py
+++ b/tests/sockets.py
@@ -17,7 +17,7 @@
 
 from rainturn.node.assembly import Parts, assemble
 from rainturn.node.configuration import parse_config
-from rainturn.node.resp import pack
+from rainturn.node.resp import encode_array
 
 LONG = 10.0  # seconds; no passing test waits this long, the limit only ends a test that hangs
 
@@ -200,7 +200,7 @@
         return cls(*await asyncio.open_connection(*address))
 
     def send(self, *words: bytes) -> None:
-        self.writer.write(pack(words))
+        self.writer.write(encode_array(words))
 
     def ask(
         self,
--- a/tests/test_audit_clients.py
+++ b/tests/test_audit_clients.py
@@ -9,7 +9,7 @@
 
 import hiredis
 
-from rainturn.node.resp import pack
+from rainturn.node.resp import encode_array
 from tests.sockets import WIRE, Client, Peer, World, run, served, soon
 
 SHORT_MS, LONG_MS = 700, 4000  # deadlines of requests that hang, and of those behind them
@@ -62,7 +62,7 @@
             client = await world.client()
             client.ask(b"1", b"pay", body=b"x")
             await soon(world.hosts[0].commands.get())
-            client.writer.write(pack([b"API.READ", b"00000000b4d65521"])[:20])
+            client.writer.write(encode_array([b"API.READ", b"00000000b4d65521"])[:20])
             stopped_at = loop.time()
             assert await client.answer() == "-ERR failed"
             assert "in time" in str(await client.answer())
@@ -85,7 +85,7 @@
         await loop.sock_connect(self.raw, address)
         for number in range(count):
             fields = b"c=read,t=basic,d=5000,units=1,spread=1,first=0"
-            command = pack([b"API.READ", b"00000000b4d65521", b"%d" % number, fields])
+            command = encode_array([b"API.READ", b"00000000b4d65521", b"%d" % number, fields])
             await loop.sock_sendall(self.raw, command)
 
     async def read(self, pause_s: float, sends: bytes = b"") -> None:
@@ -131,7 +131,7 @@
                 world.parts.clients.drain()
                 await asyncio.sleep(0.05)
                 with contextlib.suppress(OSError):
-                    raw.send(pack([b"PING"]))
+                    raw.send(encode_array([b"PING"]))
                 with contextlib.suppress(ConnectionError):
                     await client.read(0.002)
             assert client.answers == [value] * 30
--- a/tests/test_audit_lists.py
+++ b/tests/test_audit_lists.py
@@ -44,7 +44,7 @@
             first.silent = second.silent = True
             reachable_at, limit_s = time.monotonic(), KNOWN_WITHIN_S
             if failure == "silent calls after a reload":
-                discovery.move(addresses[1])
+                discovery.change_address(addresses[1])
                 limit_s = RELOAD_KNOWN_WITHIN_S + 1.0  # plus the drain grace
                 await asyncio.sleep(1.0)
             elif failure == "silent calls":
--- a/tests/test_emulator_services.py
+++ b/tests/test_emulator_services.py
@@ -26,7 +26,7 @@
 from rainturn.node.discovery import Discovery
 from rainturn.node.gateway import Clock, Node, Request
 from rainturn.node.host_pools import HostPools
-from rainturn.node.resp import pack
+from rainturn.node.resp import encode_array
 from rainturn.settings import names_from, settings_from
 from tests.sockets import Client, run, soon
 
@@ -151,7 +151,7 @@
         address = await service.listen("real")
         answered: list[it.CountAnswered] = []
         node = Node(settings_from(wire_settings(0, 1)), 1, Clock(), asyncio.get_running_loop())
-        node.feed = answered.append  # type: ignore[assignment, method-assign]
+        node.dispatch = answered.append  # type: ignore[assignment, method-assign]
         counter = CounterClient(node, address)
         counter.call(7, 2.0, 4000.0)
         counter.call(7, 1.5, 4000.0)
@@ -173,7 +173,7 @@
             (b"ADDGET", b"n", b"1", b"0"),
             (b"ADDGET", b"n", b"0.25", b"1"),
         ):
-            writer.write(pack(words))
+            writer.write(encode_array(words))
         lines = [await soon(reader.readline()) for _ in range(9)]
         assert lines[:2] == [b"+PONG\r\n", b"+OK\r\n"] and all(
             line.startswith(b"-ERR") for line in lines[2:7]
@@ -213,7 +213,7 @@
         reader, writer = await asyncio.open_connection(*address)
         began = loop.time()
         for _ in range(5):
-            writer.write(pack((b"ADDGET", b"n", b"1", b"1000")))
+            writer.write(encode_array((b"ADDGET", b"n", b"1", b"1000")))
         totals = [(await soon(reader.readline()), await soon(reader.readline()))[1] for _ in range(5)]
         assert totals == [b"%d\r\n" % n for n in range(1, 6)] and loop.time() - began >= 0.095
         writer.close()
--- a/tests/test_node_clients.py
+++ b/tests/test_node_clients.py
@@ -17,7 +17,7 @@
 from rainturn.node import client_commands, client_connection, client_timeouts
 from rainturn.node.host_connection import HostConnection
 from rainturn.node.requests import Attempt
-from rainturn.node.resp import pack
+from rainturn.node.resp import encode_array
 from tests.sockets import WIRE, Client, FailingListener, Held, Peer, Totals, World, reset, run, served, soon
 
 
@@ -125,7 +125,7 @@
                 b"*1\r\n$-1\r\n",
                 b"*1\r\n$3\r\nPING\r\n",
                 b"*4" * 200,
-                pack([b"x" * 60_000] * 4),
+                encode_array([b"x" * 60_000] * 4),
             ):
                 client = await world.client()
                 client.writer.write(raw)
@@ -341,7 +341,7 @@
             node, start = world.parts.node, world.parts.pools.start
             held, client = _hold_attempts(world), await world.client()
             head = b"c=pay,t=basic,d=5000,units=1,spread=1,first=0"
-            command = pack([b"API.WRITE", b"00000000b4d65521", b"1", head, bytes(200_000)])
+            command = encode_array([b"API.WRITE", b"00000000b4d65521", b"1", head, bytes(200_000)])
             client.writer.write(command[:150_000])
             (connection,) = await _wait_for_connections(world)
             while not (held and connection.reading_paused):
@@ -350,7 +350,7 @@
                 reset(client.writer)
             else:
                 client.writer.close()
-            while not held[0].request.done:
+            while not held[0].request.is_finished:
                 await asyncio.sleep(0.01)
             start(held[0])  # its connection is established
             while node.requests or world.parts.clients.connections:  # reported one loop iteration later
@@ -406,7 +406,7 @@
             while world.parts.clients.connections:
                 await asyncio.sleep(0.01)
             (request,) = world.parts.node.requests.values()  # its attempt is still open
-            assert request.done and world.parts.node.clock.now() < request.deadline - 500.0
+            assert request.is_finished and world.parts.node.clock.now() < request.deadline - 500.0
 
     run(main())
 
@@ -478,7 +478,7 @@
     def ask(self, wait: int = 3000) -> None:
         self.serial += 1
         fields = b"c=read,t=basic,d=%d,units=1,spread=1,first=0" % wait
-        self.sock.sendall(pack([b"API.READ", b"00000000b4d65521", b"%d" % self.serial, fields]))
+        self.sock.sendall(encode_array([b"API.READ", b"00000000b4d65521", b"%d" % self.serial, fields]))
 
     def leave(self) -> None:
         if self.how == "reset":
@@ -518,13 +518,13 @@
                 node.counter.call = lambda name, amount, ttl: calls.append(name)  # type: ignore[method-assign]
             if wait == "hosts":
                 numbers = list(node.decision_module.hosts)
-                node.feed(it.HostList(it.ListKind.FULL))
+                node.dispatch(it.HostList(it.ListKind.FULL))
             if wait == "unread":  # more than may be open, so that reading is paused
                 for _ in range(client_connection.MAX_PENDING + 4):
                     departing.ask()
             elif wait == "body":
                 fields = b"c=pay,t=basic,d=3000,units=1,spread=1,first=0"
-                command = pack([b"API.WRITE", b"00000000b4d65521", b"b", fields, bytes(200_000)])
+                command = encode_array([b"API.WRITE", b"00000000b4d65521", b"b", fields, bytes(200_000)])
                 departing.sock.setblocking(False)
                 left = memoryview(command)[:150_000]
                 while left:
@@ -559,9 +559,9 @@
             departing.leave()
             if wait == "counter":
                 for name in calls:  # the total of the last window is requested as well
-                    node.feed(it.CountAnswered(name, it.Outcome.OK, 1.0, 2.0))
+                    node.dispatch(it.CountAnswered(name, it.Outcome.OK, 1.0, 2.0))
             elif wait == "hosts":
-                node.feed(
+                node.dispatch(
                     it.HostList(
                         it.ListKind.FULL,
                         tuple(it.HostEntry(number, 0, 0, it.HostState.READY) for number in numbers),
--- a/tests/test_node_control.py
+++ b/tests/test_node_control.py
@@ -12,7 +12,7 @@
 from rainturn import interface as it
 from rainturn.node import client_timeouts
 from rainturn.node import control as control_module
-from rainturn.node.resp import pack
+from rainturn.node.resp import encode_array
 from tests.helpers import LIMITS, Drive, of, settings
 from tests.helpers import hosts as host_list
 from tests.sockets import FailingListener, Held, Peer, World, call, control, run, served, soon
@@ -140,7 +140,7 @@
             assert await client.answer() == b"PONG"
             sock = client.writer.get_extra_info("socket")
             command = b"API.READ", b"00000000b4d65521", b"1", b"c=read,t=basic,d=900,units=1,spread=1,first=0"
-            os.write(sock.fileno(), pack(command))  # still unread when the drain begins
+            os.write(sock.fileno(), encode_array(command))  # still unread when the drain begins
             world.parts.clients.drain()
             assert await client.answer() == b"value"
             assert await soon(client.reader.read()) == b""
--- a/tests/test_node_lists_at_scale.py
+++ b/tests/test_node_lists_at_scale.py
@@ -169,7 +169,7 @@
     def __init__(self, monkeypatch: pytest.MonkeyPatch, known: int = 0) -> None:
         self.node = Node(module_settings(), 7, Clock(), asyncio.get_running_loop())
         self.events: list[it.HostList] = []
-        self.node.feed = self._feed  # type: ignore[method-assign]
+        self.node.dispatch = self._dispatch  # type: ignore[method-assign]
         self.pools = HostPools(self.node, 30_000.0, 100)
         self.discovery = Discovery(self.node, self.pools, ("east", "west"), ("127.0.0.1", 1), 7)
         if known:
@@ -191,7 +191,7 @@
         self.pools.pools = self.counting_pools = CountingDict(self.pools.pools)
         self.discovery.table.fields = self.counting_fields = CountingDict(self.discovery.table.fields)
 
-    def _feed(self, event: it.Event) -> None:
+    def _dispatch(self, event: it.Event) -> None:
         assert isinstance(event, it.HostList)
         self.events.append(event)
 
@@ -350,12 +350,12 @@
         harness, agents = DiscoveryHarness(monkeypatch, 1000), [await Agent().start() for _ in range(2)]
         discovery = harness.discovery
         discovery.timeout_ms = 10_000.0
-        discovery.move(agents[0].address)
+        discovery.change_address(agents[0].address)
         agents[0].put(_list(50, _hosts(500) + [_host(n) for n in range(2000, 4000)]))
         while len(harness.events) < 5:
             await asyncio.sleep(0)
         assert discovery.seq is None  # it changes only when the list is applied completely
-        discovery.move(agents[1].address)
+        discovery.change_address(agents[1].address)
         agents[1].put(_list(3, [_host(n) for n in range(3000, 5000)]))
         assert await soon(agents[1].calls.get()) == "/discovery/hosts"
         assert "index=3&" in await soon(agents[1].calls.get())
--- a/tests/test_node_program.py
+++ b/tests/test_node_program.py
@@ -17,7 +17,7 @@
 
 from rainturn.node.clients import ACCEPT_BATCH
 from rainturn.node.host_list import parse_address
-from rainturn.node.resp import pack
+from rainturn.node.resp import encode_array
 from rainturn.node.shutdown import answer_within_s, shut_down
 from rainturn.settings import settings_from
 from tests.program import config_file, log_line, started
@@ -145,7 +145,7 @@
             waiting = []
             for _ in range(3 * ACCEPT_BATCH):  # without a turn of the loop between them
                 sock = socket.create_connection(world.address)
-                sock.send(pack([b"PING"]))
+                sock.send(encode_array([b"PING"]))
                 waiting.append(sock)
             world.parts.clients.budget = len(waiting)
             await world.parts.clients.stop(True)
--- a/tests/test_node_services.py
+++ b/tests/test_node_services.py
@@ -27,10 +27,10 @@
 
     def __init__(self, world: World) -> None:
         self.events: asyncio.Queue[it.CountAnswered] = asyncio.Queue()
-        world.parts.node.feed = self._feed  # type: ignore[method-assign]
+        world.parts.node.dispatch = self._dispatch  # type: ignore[method-assign]
         self.counter = world.parts.node.counter
 
-    def _feed(self, event: it.Event) -> None:
+    def _dispatch(self, event: it.Event) -> None:
         if isinstance(event, it.CountAnswered):
             self.events.put_nowait(event)
 
@@ -177,11 +177,11 @@
 
     def __init__(self, world: World, agent: Agent) -> None:
         self.lists: asyncio.Queue[it.HostList] = asyncio.Queue()
-        world.parts.node.feed = self._feed  # type: ignore[method-assign]
+        world.parts.node.dispatch = self._dispatch  # type: ignore[method-assign]
         self.pools, self.agent = world.parts.pools, agent
         self.discovery = Discovery(world.parts.node, self.pools, ("east", "west"), agent.address, 7)
 
-    def _feed(self, event: it.Event) -> None:
+    def _dispatch(self, event: it.Event) -> None:
         if isinstance(event, it.HostList):
             self.lists.put_nowait(event)
 
@@ -528,7 +528,7 @@
             if not harness.agent.answers.empty():
                 harness.agent.writers[-1].write(harness.agent.answers.get_nowait() or b"")
         duplicate.close()
-        harness.discovery.move(new_agent.address)
+        harness.discovery.change_address(new_agent.address)
         new_agent.put({"seq": 2, "whole": True, "hosts": [entry("b", "127.0.0.1:2", "west")]})
         assert await harness.next() == (it.ListKind.FULL, [(2, it.HostState.READY)])
         assert await soon(new_agent.calls.get()) == "/discovery/hosts"
@@ -571,11 +571,11 @@
             node, fired = world.parts.node, asyncio.Event()
             due, times = node.clock.now() + 20.0, list[float]()
 
-            def feed(event: it.Event) -> None:
+            def dispatch(event: it.Event) -> None:
                 times.append(node.clock.now())
                 fired.set()
 
-            node.feed = feed  # type: ignore[method-assign]
+            node.dispatch = dispatch  # type: ignore[method-assign]
             node._on_timer(due, 0)
             assert not times
             await soon(fired.wait())
--- a/tests/test_node_size.py
+++ b/tests/test_node_size.py
@@ -11,7 +11,7 @@
 
 from rainturn import interface as it
 from rainturn.node import client_timeouts, host_connection, host_pools
-from rainturn.node.resp import MAX_BUFFERED_BYTES, pack
+from rainturn.node.resp import MAX_BUFFERED_BYTES, encode_array
 from tests.helpers import LIMITS, Drive, of, settings
 from tests.sockets import Client, World, reset, run, served, soon
 
@@ -84,7 +84,7 @@
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
             writer: asyncio.StreamWriter | None = None
             for request_id in (b"1", b"2"):  # the second request uses the same connections
-                command = pack([b"API.WRITE", b"00000000b4d65521", request_id, FIELDS % b"pay", body])
+                command = encode_array([b"API.WRITE", b"00000000b4d65521", request_id, FIELDS % b"pay", body])
 
                 async def send(command: bytes = command) -> None:
                     for piece in _split(command):
@@ -238,7 +238,9 @@
     async def main() -> None:
         async with World(lambda words: served()) as world:
             scripted_host, client = await _replace_host(world), await world.client()
-            command = pack([b"API.WRITE", b"00000000b4d65521", b"1", FIELDS % b"pay", _random_bytes(100_000)])
+            command = encode_array(
+                [b"API.WRITE", b"00000000b4d65521", b"1", FIELDS % b"pay", _random_bytes(100_000)]
+            )
             client.writer.write(command[:70_000])
             reader, writer = await scripted_host.next(world)
             assert str(await client.answer()).startswith("-ERR the command did not come whole")
@@ -255,7 +257,9 @@
     async def main() -> None:
         async with World(lambda words: served()) as world:
             scripted_host, client = await _replace_host(world), await world.client()
-            command = pack([b"API.WRITE", b"00000000b4d65521", b"1", FIELDS % b"pay", _random_bytes(100_000)])
+            command = encode_array(
+                [b"API.WRITE", b"00000000b4d65521", b"1", FIELDS % b"pay", _random_bytes(100_000)]
+            )
             client.writer.write(command[:70_000])
             reader, _ = await scripted_host.next(world)
             client.writer.write(command[70_000:-2] + b"xx")
@@ -288,7 +292,7 @@
             scripted_host = await _replace_host(world)
             for uploading in (True, False):
                 client = await world.client()
-                command = pack(
+                command = encode_array(
                     [
                         b"API.WRITE",
                         b"00000000b4d65521",
--- a/tests/test_standing_clients.py
+++ b/tests/test_standing_clients.py
@@ -15,12 +15,12 @@
 from rainturn import interface as it
 from rainturn.node import client_timeouts
 from rainturn.node.gateway import Attempt, Request
-from rainturn.node.resp import pack
+from rainturn.node.resp import encode_array
 from tests.sockets import WIRE, Client, Held, World, run, served, soon
 from tests.test_node_size import ScriptedHost
 
 CUSTOMER = b"00000000b4d65521"
-PING = pack([b"PING"])
+PING = encode_array([b"PING"])
 NO_QUOTA: dict[str, Any] = {  # no counter either: its connections would change the number of descriptors
     "plans": [WIRE["plans"][0] | {"per_second": 0, "peak_units": 0}],
     "family_info": WIRE["family_info"] | {"may_count": False},
@@ -29,14 +29,14 @@
 
 
 def _encode_read(request_id: bytes, deadline_ms: int = 5000) -> bytes:
-    return pack(
+    return encode_array(
         [b"API.READ", CUSTOMER, request_id, b"c=read,t=basic,d=%d,units=1,spread=1,first=0" % deadline_ms]
     )
 
 
 def _encode_pay(request_id: bytes, body: bytes, deadline_ms: int = 5000) -> bytes:
     fields = b"c=pay,t=basic,d=%d,units=1,spread=1,first=0" % deadline_ms
-    return pack([b"API.WRITE", CUSTOMER, request_id, fields, body])
+    return encode_array([b"API.WRITE", CUSTOMER, request_id, fields, body])
 
 
 def _write_at_once(client: Client, data: bytes) -> None:
@@ -106,7 +106,7 @@
     run(main())
 
 
-@pytest.mark.parametrize("first", [PING, pack([b"NONSENSE"]), _encode_read(b"1")])
+@pytest.mark.parametrize("first", [PING, encode_array([b"NONSENSE"]), _encode_read(b"1")])
 def test_pipelined_commands_are_answered_before_a_draining_connection_closes(first: bytes) -> None:
     """All commands arrive in one read, and the first is answered immediately while connections drain."""
 
@@ -254,7 +254,7 @@
 FLOODS = {
     "reads": b"".join(_encode_read(b"%d" % n) for n in range(4000)),
     "pings": PING * 30_000,
-    "errors": pack([b"NONSENSE"]) * 10_000,
+    "errors": encode_array([b"NONSENSE"]) * 10_000,
     "garbage": bytes(range(256)) * 2000,
     "short bodies": b"".join(_encode_pay(b"%d" % n, bytes(1000)) for n in range(400)),
     "a long body": _encode_pay(b"1", bytes(4 << 20)),
--- a/tests/test_standing_lists.py
+++ b/tests/test_standing_lists.py
@@ -40,7 +40,7 @@
     async with World(*handlers) as world:
         agent, discovery = await Discovery().start(), world.parts.discovery
         discovery.timeout_ms = LONG * 1000  # no test here depends on how fast an answer arrives
-        discovery.move(agent.address)
+        discovery.change_address(agent.address)
         agent.put(_list(5, *_entries(world)))
         assert await soon(agent.calls.get()) == "/discovery/hosts"
         await _expect_watch_from(agent, 5)
@@ -189,7 +189,7 @@
             new_agent = await Discovery().start()
             if first != "answers":
                 new_agent.put_raw(End.CLOSE if first == "ends" else End.RESET)
-            world.parts.discovery.move(new_agent.address)
+            world.parts.discovery.change_address(new_agent.address)
             agent.put(_list(9, entry("old", "127.0.0.1:1")))  # too late
             if first != "answers":
                 assert await soon(new_agent.calls.get()) == "/discovery/hosts"
--- a/tests/test_standing_process.py
+++ b/tests/test_standing_process.py
@@ -14,7 +14,7 @@
 import pytest
 
 from rainturn.node import counter as counter_module
-from rainturn.node.resp import pack
+from rainturn.node.resp import encode_array
 from rainturn.node.shutdown import shut_down
 from tests.program import descriptors, program
 from tests.sockets import WIRE, Client, Discovery, Peer, Totals, World, entry, run, served, soon
@@ -68,7 +68,7 @@
             verb = b"API.READ" if kind == b"read" else b"API.WRITE"
             self.sent += 1
             ident = b"%s.%d" % (self.name, self.sent)
-            self.transport.write(pack([verb, b"00000000b4d65521", ident, FIELDS % kind]))
+            self.transport.write(encode_array([verb, b"00000000b4d65521", ident, FIELDS % kind]))
 
     def data_received(self, data: bytes) -> None:
         self.parser.feed(data)
@@ -105,7 +105,7 @@
         async with World(lambda words: None, wire=SHORT_DEADLINES) as world:
             client, incomplete = await world.client(), await world.client()
             client.ask(b"1", b"pay", 800, body=b"x")
-            incomplete.writer.write(pack([b"API.READ"])[:12])  # half a command
+            incomplete.writer.write(encode_array([b"API.READ"])[:12])  # half a command
             await soon(world.hosts[0].commands.get())
             writer = await soon(world.hosts[0].connected.get())
             shutdown = asyncio.create_task(shut_down(world.parts, False))
@@ -217,14 +217,14 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """A partition cuts the old counter off: it neither answers nor closes its connections."""
-    monkeypatch.setattr(counter_module, "RETIRE_S", 0.2, raising=False)
+    monkeypatch.setattr(counter_module, "DRAIN_TIMEOUT_S", 0.2, raising=False)
 
     async def main() -> None:
         async with World(lambda words: served(), counter=lambda words: None) as world:
             client, moved = await world.client(), await Peer(Totals()).start()
             client.ask(b"1")
             await soon(world.counter.commands.get())
-            world.parts.counter.move(moved.address)
+            world.parts.counter.change_address(moved.address)
             await soon(world.counter.closed.get())
             client.ask(b"2")
             await soon(moved.commands.get())
