--- a/rainturn/node/body.py
+++ b/rainturn/node/body.py
@@ -1,4 +1,4 @@
-"""The last argument of a command while it arrives: a short one is buffered, a longer one is streamed."""
+"""The body of a command, its last argument, while it arrives: buffered if it is short, otherwise streamed."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class Sink(Protocol):
-    """Receives the pieces of a streamed body: a connection to a host."""
+    """The destination of a streamed body: a connection to a host."""
 
     has_unsent_bytes: bool
 
@@ -21,7 +21,7 @@
 
 
 class Body:
-    """Holds the pieces of a body until a sink is attached; later pieces go to the sink and are not kept."""
+    """Holds the pieces of a body until a sink is attached, and passes later pieces to the sink directly."""
 
     __slots__ = (
         "arguments",
@@ -43,9 +43,9 @@
         self.held_bytes = 0  # total size of `pieces`
         self.sink: Sink | None = None
         self.fully_received = self.was_forwarded = False
-        self.has_request = False  # whether its request has begun, before the body itself has arrived
+        self.has_request = False  # whether its request has begun, on the arrival of the other arguments
         self.is_discarded = False  # whether its request has ended: the rest is read and dropped
-        self.resume_reading: Callable[[], None] = lambda: None  # called when more may be read
+        self.resume_reading: Callable[[], None] = lambda: None  # called when `accepts_more` may have changed
 
     @property
     def is_streamed(self) -> bool:
@@ -53,13 +53,13 @@
         return self.length > MAX_BUFFERED_BYTES
 
     def accepts_more(self) -> bool:
-        """Whether more should be read from the client."""
+        """Return whether more of the body should be read from the client."""
         if self.sink is not None:
             return not self.sink.has_unsent_bytes
         return self.is_discarded or self.held_bytes < MAX_BUFFERED_BYTES
 
     def add_piece(self, data: bytes) -> None:
-        """Add a piece that has arrived."""
+        """Pass a piece that has arrived to the sink, or hold it if there is none."""
         self.bytes_left -= len(data)
         if self.sink is not None:
             self.sink.send_body_piece(data)
@@ -74,7 +74,7 @@
             self.sink.end_body()
 
     def attach(self, sink: Sink) -> None:
-        """Pass the held pieces to a sink. This works once: they are not kept and cannot be sent again."""
+        """Attach a sink and pass it the held pieces. They are not kept, so the body cannot be sent twice."""
         self.sink, self.was_forwarded = sink, True
         for piece in self.pieces:
             sink.send_body_piece(piece)
@@ -83,7 +83,7 @@
             sink.end_body()
 
     def detach(self) -> None:
-        """Remove the sink, which accepts no more."""
+        """Remove the sink, which accepts no more pieces."""
         self.sink = None
         self.resume_reading()
 
--- a/rainturn/node/client_commands.py
+++ b/rainturn/node/client_commands.py
@@ -11,13 +11,13 @@
 from rainturn.node.requests import Request, Responder
 from rainturn.settings import Names
 
-REPLY_MARGIN_MS = 25.0  # kept back from a client's time limit for the way back and a late event loop
+REPLY_MARGIN_MS = 25.0  # subtracted from a client's time limit, for the way back and a late event loop
 REQUEST_VERBS = (b"API.READ", b"API.WRITE")
 REQUIRED_FIELDS = (b"c", b"t", b"d", b"units", b"spread", b"first")
 NUMBER_FIELDS = REQUIRED_FIELDS[2:]
 MAX_INTEGER_DIGITS = 12  # of a number before its decimal point
 CUSTOMER_NUMBER_LIMIT = 1 << 33  # customer numbers are below this
-STREAMED_BODY_BYTES = 128 * 1024  # memory counted for a streamed body: a held piece, and as much unsent
+STREAMED_BODY_BYTES = 128 * 1024  # memory counted for a streamed body: held pieces, and as much unsent
 
 _is_customer = re.compile(rb"[0-9a-fA-F]{16}").fullmatch
 _is_decimal = re.compile(rb"[0-9]{1,12}(\.[0-9]{1,6})?").fullmatch
--- a/rainturn/node/client_connection.py
+++ b/rainturn/node/client_connection.py
@@ -22,7 +22,7 @@
 MAX_ERRORS = 8  # invalid commands on one connection; one more closes it
 MAX_PENDING = 32  # unanswered commands per connection; further input stays unread
 COMMAND_BATCH = 64  # commands of one connection per event loop iteration, so that other work is not delayed
-LIVENESS_CHECK_INTERVAL_S = 0.1  # how often a client is checked for a hang-up while reading is paused
+LIVENESS_CHECK_INTERVAL_S = 0.1  # between checks for a hang-up of a client while reading is paused
 
 
 class ConnectionOwner(Protocol):
@@ -86,12 +86,12 @@
         if self.parsing or self.parse_handle is not None:
             return
         self.parsing = True
-        data, position, incomplete, commands = self.buffer, 0, False, 0
+        data, position, incomplete, command_count = self.buffer, 0, False, 0
         data_offset = self.arrivals.received_bytes - len(data)  # offset of `data` in the stream
         try:
             while (
                 position < len(data)
-                and commands < COMMAND_BATCH
+                and command_count < COMMAND_BATCH
                 and not (self.closing or self.writing_paused)
                 and (self.body is not None or not self._must_await_replies())
             ):
@@ -107,7 +107,7 @@
                     incomplete = True
                     break
                 position = parsed.end
-                commands += 1
+                command_count += 1
                 if parsed.body_length is None:
                     self._execute(parsed.arguments, self.arrivals.consume(data_offset + position))
                 else:
@@ -120,7 +120,7 @@
         finally:
             self.parsing = False
         self.buffer = b"" if self.closing else data[position:] if position else data
-        if commands == COMMAND_BATCH and self.buffer:
+        if command_count == COMMAND_BATCH and self.buffer:
             self._parse_next_turn()
         if incomplete:
             if position:
@@ -144,9 +144,9 @@
             self._parse()
 
     def _begin_body(self, body: Body, arrived_at: float) -> None:
-        """Begin a command with a body: immediately if the body is streamed, otherwise once it is complete.
+        """Begin a command with a body: execute it now if the body is streamed, otherwise once it is complete.
 
-        A command with a short body already counts as valid here if its head is valid.
+        A client that sends a short body counts as valid from here on if the other arguments are valid.
         """
         self.body = body
         body.resume_reading = self._update_reading
@@ -232,16 +232,16 @@
 
     # Commands.
 
-    def _execute(self, words: list[bytes], arrived_at: float, body: Body | None = None) -> None:
+    def _execute(self, arguments: list[bytes], arrived_at: float, body: Body | None = None) -> None:
         """Execute a command; if its body is streamed, the body may still be incomplete.
 
         `arrived_at` is the time at which the last byte received so far arrived, in Unix ms.
         """
-        verb = words[0].upper()
+        verb = arguments[0].upper()
         if body is not None:
             body.is_discarded = True  # until a request accepts the body
         if verb in REQUEST_VERBS:
-            self._begin_request(words, arrived_at, body)
+            self._begin_request(arguments, arrived_at, body)
         elif verb == b"PING":
             self._note_valid_command()
             self._reply(b"+PONG\r\n" if self.node.is_ready() else b"-ERR not ready\r\n")
@@ -251,9 +251,9 @@
         else:
             self._reply_error("unknown command")
 
-    def _begin_request(self, words: list[bytes], arrived_at: float, body: Body | None) -> None:
+    def _begin_request(self, arguments: list[bytes], arrived_at: float, body: Body | None) -> None:
         try:
-            request = self.owner.parser.parse_request(words, self, arrived_at, body)
+            request = self.owner.parser.parse_request(arguments, self, arrived_at, body)
         except MalformedCommand as error:
             return self._reply_error(str(error))
         self._note_valid_command()
@@ -401,8 +401,8 @@
     def _close_gracefully(self) -> None:
         """Close between requests: immediately if the client's machine has all replies, otherwise after that.
 
-        Guards against bytes from the client that cross the close. They turn it into a reset, which drops
-        the replies that have not left this machine yet.
+        Guards against bytes from the client that arrive during the close. They turn it into a reset, which
+        drops the replies that have not left this machine yet.
         """
         if not count_unsent_bytes(self.transport):
             return self.transport.close()
@@ -448,7 +448,7 @@
             self.liveness_timer = self.node.loop.call_later(LIVENESS_CHECK_INTERVAL_S, self._check_liveness)
 
     def _note_unread(self) -> None:
-        """Record bytes that arrive while reading is paused: the time limits of their commands run already."""
+        """Record bytes that arrive while reading is paused: the time limits of their commands have begun."""
         self.arrivals.note_unread(count_unread_bytes(self.transport), self.node.clock.now())
 
     def _cancel_liveness_timer(self) -> None:
--- a/rainturn/node/client_replies.py
+++ b/rainturn/node/client_replies.py
@@ -22,18 +22,21 @@
 
 
 class ClientReplies(asyncio.Protocol):
-    """Sends the replies of one connection. A long value is sent in pieces when its request comes first."""
+    """Sends the replies of one connection.
+
+    A long value is sent in pieces once the replies before it have been sent.
+    """
 
     def __init__(self, clock: Clock) -> None:
         self.clock = clock
         self.transport: asyncio.Transport
         self.pending: deque[Request | QueuedReply] = deque()  # unanswered commands in order
-        self.closing = False  # whether input is ignored and the connection ends once all is answered
+        self.closing = False  # whether input is ignored and the connection ends after the last reply
         self.writing_paused = False  # whether the write buffer is full: the client leaves replies unread
 
     def send_value(self, request: Request, value: bytes) -> None:
         """Send a host's value."""
-        self._answer(request, b"$%d\r\n%s\r\n" % (len(value), value))
+        self._reply_to_request(request, b"$%d\r\n%s\r\n" % (len(value), value))
 
     def send_refusal(self, request: Request, backoff_ms: float, until: float) -> None:
         """Send a refusal, with the backoff if there is one: the client may safely try again.
@@ -41,11 +44,13 @@
         If the reply can only be sent after `until` (Unix time in ms), a failure is sent instead.
         """
         request.refusal_valid_until = until
-        self._answer(request, b"-BUSY %d\r\n" % max(1, round(backoff_ms)) if backoff_ms > 0 else b"-BUSY\r\n")
+        self._reply_to_request(
+            request, b"-BUSY %d\r\n" % max(1, round(backoff_ms)) if backoff_ms > 0 else b"-BUSY\r\n"
+        )
 
     def send_failure(self, request: Request) -> None:
         """Send an error that does not say whether the request has run."""
-        self._answer(request, FAILURE_REPLY)
+        self._reply_to_request(request, FAILURE_REPLY)
 
     def begin_value(self, request: Request, length: int) -> None:
         """Begin a long value of `length` bytes."""
@@ -65,7 +70,7 @@
 
     def end_value(self, request: Request) -> None:
         """End a long value that is complete."""
-        self._answer(request, b"\r\n")
+        self._reply_to_request(request, b"\r\n")
 
     def cut_value(self, request: Request) -> None:
         """Close the connection after an incomplete long value, so that the client sees that it is cut short.
@@ -79,7 +84,7 @@
         self.closing = True
         self.transport.close()
 
-    def _answer(self, request: Request, reply: bytes) -> None:
+    def _reply_to_request(self, request: Request, reply: bytes) -> None:
         request.reply = reply
         self._flush()
 
--- a/rainturn/node/client_timeouts.py
+++ b/rainturn/node/client_timeouts.py
@@ -19,7 +19,7 @@
 
 
 class TimedConnection(Protocol):
-    """A connection as the sweep sees it: what can be done once its time in a state has expired."""
+    """A connection as the sweep sees it: what can be done once its time limit in a state has expired."""
 
     def is_evictable(self) -> bool:
         """Return whether it may be closed immediately: no unread input and no unsent replies."""
@@ -103,7 +103,7 @@
         Guards against connections that are opened and left silent displacing clients that are served.
         Connections that are being closed come first, then those that have not sent a valid command, then the
         one that has been idle longest. A connection stays while it has an open request, while its next
-        command has arrived, read or not, or while replies have not left.
+        command has arrived, read or not, or while replies are in transit.
         """
         candidates = chain(self.lingering, self.awaiting_valid_command, self.idle)
         return next((connection for connection in candidates if connection.is_evictable()), None)
--- a/rainturn/node/clients.py
+++ b/rainturn/node/clients.py
@@ -20,9 +20,9 @@
 log = logging.getLogger(__name__)
 
 BACKLOG = 1024  # connections that the kernel queues until they are accepted
-ACCEPT_BATCH = 32  # connections accepted per event loop iteration, so that many do not delay other work
+ACCEPT_BATCH = 32  # connections accepted per event loop iteration, so that other work is not delayed
 FINAL_ACCEPT_TIMEOUT_S = 0.25  # how long failed accepts are retried before the listener closes
-COMMAND_MEMORY_SHARE = 0.25  # share of the memory limit for the commands of open requests
+COMMAND_MEMORY_SHARE = 0.25  # share of the memory limit that the commands of open requests may use
 DRAIN_DELAY_S = 0.6  # from going out of service to draining; the last new connections have arrived by then
 CLOSE_TIMEOUT_S = 0.2  # how long the last replies may take to be sent when the gateway stops
 
@@ -56,7 +56,7 @@
     # Accepting.
 
     def accept_from(self, listener: socket.socket) -> tuple[str, int]:
-        """Start to accept connections from a listening socket; return its host and port."""
+        """Start accepting connections from a listening socket; return its host and port."""
         self.listener = listener
         self.listener.setblocking(False)
         self._resume_accepting()
@@ -144,7 +144,7 @@
         self._resume_accepting()
 
     def on_closed(self, connection: ClientConnection) -> None:
-        """Remove a closed connection, and accept others again."""
+        """Remove a closed connection, and accept new ones again."""
         self._forget(connection)
         if self.all_closed is not None and not self.connections:
             self.all_closed.set()
--- a/rainturn/node/counter.py
+++ b/rainturn/node/counter.py
@@ -16,7 +16,7 @@
 
 IDLE_LIMIT_MS = 5000.0  # a connection idle for longer is replaced: the counter may close it at any moment
 SILENT_TIMEOUTS = 4.0  # call time-outs without a byte after which a connection with open calls is replaced
-MAX_CONNECTIONS = 4  # more than one: a malformed answer or a break ends all calls on its connection
+MAX_CONNECTIONS = 4  # several, because a malformed answer or a reset ends all calls on its connection
 MAX_TTL_MS = 60_000  # longest lifetime of a count in the protocol
 MAX_AMOUNT = 1e9  # largest amount of a call in the protocol
 AMOUNT_DECIMALS = 6  # the totals of the counter are exact to seven digits
@@ -61,7 +61,7 @@
         self.transport.write(call.command)
 
     def must_be_replaced(self, now: float) -> bool:
-        """Whether the connection may be dead: silent with calls open, or idle for longer than the limit."""
+        """Return whether the connection may be dead: silent with calls open, or idle beyond the limit."""
         if self.calls:
             return now - self.received_at > SILENT_TIMEOUTS * self.counter.timeout_ms
         return now - self.sent_at > IDLE_LIMIT_MS
@@ -94,8 +94,8 @@
     def close(self) -> None:
         """Close the connection and end its calls.
 
-        A call that was not sent completely ends as unreachable. The amounts of the others may have been
-        added. They end as reset and not as timed out, because their end says nothing about the load of the
+        A call that was not sent completely ends as unreachable. The others end as reset: their amounts may
+        have been added. They do not end as timed out, because their end says nothing about the load of the
         counter.
         """
         if self.closed:
@@ -132,7 +132,7 @@
         self.stopped = False
 
     def change_address(self, address: tuple[str, int]) -> None:
-        """Make further calls to another address; those already sent may still be answered."""
+        """Send further calls to another address; calls already sent may still be answered."""
         if address == self.address:
             return
         self.address, self.retry_at = address, 0.0
@@ -170,7 +170,7 @@
             best.write(call, now)
 
     def _needs_connection(self, best: CounterConnection) -> bool:
-        """Whether to open another connection: even the one with the fewest open calls has one."""
+        """Return whether to open another connection: even the one with the fewest open calls has one."""
         return bool(best.calls) and len(self.connections) < MAX_CONNECTIONS
 
     async def _connect(self) -> None:
--- a/rainturn/node/gateway.py
+++ b/rainturn/node/gateway.py
@@ -83,7 +83,7 @@
         }
 
     def is_ready(self) -> bool:
-        """Whether clients may connect: the first host list is complete and the decision module is ready."""
+        """Return whether clients may connect: the first host list is complete, the decision module ready."""
         return not self.list_incomplete and self.decision_module.is_ready(self.clock.now())
 
     # Events and actions.
@@ -131,7 +131,7 @@
             self._forget_if_finished(number)
 
     def _forget_if_finished(self, number: int) -> None:
-        """Drop a request that has ended and has no open attempt. The decision module knows of its end."""
+        """Drop a request that has ended and has no open attempt; the decision module has handled its end."""
         request = self.requests.get(number)
         if request is not None and request.is_finished and not request.open_attempts:
             del self.requests[number]
@@ -143,7 +143,7 @@
     # Requests.
 
     def add_request(self, request: Request) -> None:
-        """Take a request from a client."""
+        """Register a request of a client, and pass its arrival to the decision module."""
         self.requests[request.number] = request
         self.request_ids.add(request.arguments[2])
         self.unanswered += 1
@@ -168,7 +168,7 @@
         return sum(not request.is_finished and request.is_complete() for request in self.requests.values())
 
     def abandon_request(self, request: Request) -> None:
-        """End a request whose client has disconnected; it gets no answer."""
+        """End a request whose client has disconnected; it gets no reply."""
         if request.is_finished:
             return
         streaming = not request.is_complete() or request.value_source is not None
@@ -189,14 +189,14 @@
             if attempt is not None:
                 self._time_out(attempt)
         if not request.is_finished:
-            # Guards against a request that the decision module has lost or holds too long: rule 1 demands an
-            # answer to every request.
+            # Guards against a request that the decision module has lost or holds too long: rule 1 demands a
+            # reply to every request.
             log.warning("request without an answer at its deadline")
             self.end_request_now(request)
         self._forget_if_finished(request.number)
 
     def end_request_now(self, request: Request) -> None:
-        """Give the final answer without the decision module: a refusal where rule 2 allows one."""
+        """Send the final reply without the decision module: a refusal where rule 2 allows one."""
         if request.value_source is not None:
             return self._cut_value(request)
         request_class = self.settings.classes[request.arrival.request_class]
@@ -215,7 +215,7 @@
         self.dispatch(it.RequestGone(request.number))
 
     def _finish_request(self, request: Request, ending: Ending | None) -> None:
-        """Mark a request as ended, once. With the ending None its client left, and no metric counts it."""
+        """Mark a request as ended, once. An ending of None means that its client left; it is not counted."""
         request.is_finished = True
         if request.body is not None:
             request.body.discard_rest()
@@ -224,7 +224,7 @@
         self.unanswered -= 1
 
     def _answerable_request(self, number: int) -> Request | None:
-        """Return the request if a final answer can still be sent.
+        """Return the request if a final reply can still be sent.
 
         Returns None if it has ended since the action was decided, or if a long value has begun.
         """
@@ -299,7 +299,7 @@
     def end_attempt(self, attempt: Attempt, outcome: it.Outcome, value: bytes = b"") -> None:
         """Report the end of an attempt to the decision module, once.
 
-        The first value goes to the client without a decision.
+        The first value is sent to the client without a decision.
         """
         request = attempt.request
         if request.attempts[attempt.number] is not attempt:
--- a/rainturn/node/requests.py
+++ b/rainturn/node/requests.py
@@ -11,23 +11,23 @@
 
 
 class Responder(Protocol):
-    """The destination of a request's final answer: the connection of its client."""
+    """The destination of a request's final reply: the connection of its client."""
 
     def is_connected(self) -> bool:
-        """Whether the client is still connected; if it is not, its requests end now."""
+        """Return whether the client is still connected; if it is not, end its requests."""
 
     def send_value(self, request: Request, value: bytes) -> None:
-        """Answer with a host's value."""
+        """Send a host's value."""
 
     def send_refusal(self, request: Request, backoff_ms: float, until: float) -> None:
-        """Answer that a repeat is harmless, after the backoff if that is over 0.
+        """Send a refusal: a repeat is harmless, after the backoff if that is over 0.
 
-        After `until` (Unix time in ms) a repeat is no longer harmless: if the answer's turn comes later, it
-        is sent as a failure.
+        After `until` (Unix time in ms) a repeat is no longer harmless: if the reply can only be sent later, a
+        failure is sent instead.
         """
 
     def send_failure(self, request: Request) -> None:
-        """Answer with an error that does not tell whether the request has run."""
+        """Send an error that does not say whether the request has run."""
 
     def begin_value(self, request: Request, length: int) -> None:
         """Begin a long value of `length` bytes."""
@@ -36,7 +36,7 @@
         """Send a piece of a long value."""
 
     def accepts_piece(self, request: Request) -> bool:
-        """Whether the next piece of a long value can be accepted."""
+        """Return whether the next piece of a long value can be sent now."""
 
     def end_value(self, request: Request) -> None:
         """End a complete long value."""
@@ -90,30 +90,30 @@
         body: Body | None = None,
     ) -> None:
         self.number, self.arrival = arrival.request, arrival
-        self.deadline = deadline  # of the answer to the client; infinite until a streamed body is complete
-        self.time_limit_ms = time_limit_ms  # from the last byte of the request to its answer
+        self.deadline = deadline  # of the reply to the client; infinite until a streamed body is complete
+        self.time_limit_ms = time_limit_ms  # from the last byte of the request to its reply
         self.arguments = arguments  # of the command, as received
         # The text of the fields on both sides of `d=...`: each attempt sends its own value of `d`.
         self.fields_before_deadline = fields_before_deadline
         self.fields_after_deadline = fields_after_deadline
         self.client, self.held_bytes = client, held_bytes
         self.body = body  # the last argument, if it is streamed to the host
-        self.reply: bytes | None = None  # the answer, while it waits for earlier answers of the connection
+        self.reply: bytes | None = None  # set while it waits for earlier replies of the connection
         self.refusal_valid_until = math.inf  # a refusal that is sent later becomes a failure
-        self.value_pieces: list[bytes] = []  # of a long value, while they wait for earlier answers
-        self.value_source: ValueSource | None = None  # set once a long value has begun: the answer is fixed
+        self.value_pieces: list[bytes] = []  # of a long value, while they wait for earlier replies
+        self.value_source: ValueSource | None = None  # set once a long value has begun: the reply is fixed
         self.attempts: list[Attempt | None] = []  # by number; None: the attempt has ended
         self.open_attempts = 0
-        self.is_finished = False  # whether its final answer is decided or its client has left
+        self.is_finished = False  # whether its final reply is decided or its client has left
         self.may_have_run = False  # whether an ended attempt may have run at its host
         self.deadline_timer: asyncio.TimerHandle | None = None
 
     def is_complete(self) -> bool:
-        """Whether the last byte of the request has arrived."""
+        """Return whether the last byte of the request has arrived."""
         return self.body is None or self.body.fully_received
 
     def may_run(self) -> bool:
-        """Whether an attempt may have run or may still run; one that waits for a connection cannot."""
+        """Return whether an attempt may have run or may still run; one that waits for a connection cannot."""
         return self.may_have_run or any(
             attempt is not None and attempt.connection is not None for attempt in self.attempts
         )
--- a/rainturn/node/resp.py
+++ b/rainturn/node/resp.py
@@ -18,9 +18,9 @@
 from collections.abc import Sequence
 from typing import NamedTuple, cast
 
-MAX_BUFFERED_BYTES = 64 * 1024  # largest value that is buffered whole; a longer one is streamed
+MAX_BUFFERED_BYTES = 64 * 1024  # largest value that is buffered; a longer one is streamed
 MAX_STREAMED_BYTES = 4 << 20  # largest value that is streamed
-MAX_COMMAND_BYTES = 2 * MAX_BUFFERED_BYTES  # of all arguments of a command without a streamed one
+MAX_COMMAND_BYTES = 2 * MAX_BUFFERED_BYTES  # of all arguments of a command except a streamed body
 BODY_INDEX = 4  # position of a command's body among its arguments
 MAX_ARGUMENTS = 16  # of a command
 MAX_ERROR_BYTES = 256  # of an error line
@@ -73,7 +73,7 @@
 
 
 class CounterAnswer(NamedTuple):
-    """The counter's answer and the offset of its end. Total None: the call was refused and added nothing."""
+    """The counter's answer and the offset of its end. A total of None: the call added nothing."""
 
     total: float | None
     end: int
@@ -175,7 +175,7 @@
 
 
 def check_fields(data: bytes, offset: int, count: int) -> bool | None:
-    """Whether exactly `count` well-formed fields follow. Returns None if more bytes are needed to tell."""
+    """Return whether exactly `count` well-formed fields follow, or None if more bytes are needed to tell."""
     if count == 2 and data[offset:] == TWO_NULLS:
         return True
     for _ in range(count):
@@ -220,7 +220,7 @@
 def count_unsent_bytes(transport: asyncio.Transport) -> int:
     """Return how many bytes the peer has not acknowledged: in our buffer and in the socket's send queue.
 
-    Two calls show whether the peer still takes bytes.
+    The difference between two calls shows whether the peer still receives bytes.
     """
     queue_size = bytearray(4)
     if transport.is_closing():
@@ -251,7 +251,7 @@
 
 
 class OutgoingConnection(asyncio.Protocol):
-    """A connection opened by the gateway. `has_unsent_bytes`: whether our write buffer is not empty."""
+    """A connection opened by the gateway. `has_unsent_bytes` is set while our write buffer is not empty."""
 
     def __init__(self) -> None:
         self.transport: asyncio.Transport
@@ -264,9 +264,9 @@
         self.transport.set_write_buffer_limits(0)
 
     def pause_writing(self) -> None:
-        """Note that some bytes have not been sent."""
+        """Record that some bytes have not been sent."""
         self.has_unsent_bytes = True
 
     def resume_writing(self) -> None:
-        """Note that all bytes have been sent."""
+        """Record that all bytes have been sent."""
         self.has_unsent_bytes = False
--- a/rainturn/node/system_errors.py
+++ b/rainturn/node/system_errors.py
@@ -1,4 +1,4 @@
-"""Classification of failed system calls: temporary failures of this machine, as documented for Linux."""
+"""Temporary failures of system calls, as documented for Linux, and calls that are repeated after them."""
 
 from __future__ import annotations
 
@@ -10,7 +10,8 @@
 
 ProtocolT = TypeVar("ProtocolT", bound=asyncio.BaseProtocol)
 
-# A lack of descriptors, buffers, memory or local ports, or a signal. These say nothing about the remote side.
+# Errors of any call: this machine lacks descriptors, buffers, memory or local ports, or a signal interrupted
+# the call. They say nothing about the remote side.
 LOCAL_SHORTAGES = frozenset(
     {
         errno.EMFILE,
@@ -24,7 +25,7 @@
 )
 # Errors of connect: a route may be missing for a moment, or for as long as the host is cut off.
 ROUTE_MISSING = frozenset({errno.ENETUNREACH, errno.ENETDOWN})
-# Errors of accept: the pending connection or its network has gone; other connections may be pending.
+# Errors of accept: the pending connection was lost or its network is down; others may still be pending.
 CLIENT_GONE = frozenset(
     {
         errno.ECONNABORTED,
@@ -41,18 +42,18 @@
         errno.ETIMEDOUT,
     }
 )
-RETRY_S = 0.02  # delay before a call that failed for a local shortage is made again
-LISTEN_RETRY_LIMIT_S = 5.0  # how long the start of a process retries to listen at its address
+RETRY_S = 0.02  # delay before a call that failed temporarily is repeated
+LISTEN_RETRY_LIMIT_S = 5.0  # how long a starting process tries to listen on its address
 
 
 class LocalShortageError(OSError):
-    """No connection was made within the time limit because of a shortage on this machine, not remotely."""
+    """A shortage on this machine, not a failure of the remote side, prevented a connection in time."""
 
 
 async def open_listening_socket(address: tuple[str, int], backlog: int) -> socket.socket:
-    """Open a socket that listens on one address, retrying for `LISTEN_RETRY_LIMIT_S` on a local shortage.
+    """Open a socket that listens on one address only, and retry while this machine lacks a resource.
 
-    Raises an OSError if that limit has passed, or for any other failure.
+    Raises an OSError if a shortage lasts for `LISTEN_RETRY_LIMIT_S`, or at once for any other failure.
     """
     loop = asyncio.get_running_loop()
     end = loop.time() + LISTEN_RETRY_LIMIT_S
@@ -71,10 +72,10 @@
     address: tuple[str, int],
     limit_s: float,
 ) -> ProtocolT:
-    """Connect within the limit, retrying on a local shortage or a missing route.
+    """Connect within `limit_s`, and retry on a local shortage or a missing route.
 
-    Raises a `LocalShortageError` if a shortage lasts until the limit. Any other failure raises an OSError, of
-    which a time-out is one kind, or a ValueError if the name cannot be that of a host.
+    Raises a `LocalShortageError` if a shortage lasts until the limit, a `TimeoutError` if the limit passes
+    otherwise, another OSError for any other failure, and a ValueError if the name cannot be that of a host.
     """
     shortage = False
     try:
--- a/tests/test_audit_clients.py
+++ b/tests/test_audit_clients.py
@@ -22,7 +22,7 @@
         client.ask(b"%d" % number, b"pay", wait, body=b"x")
 
 
-def test_deadline_of_a_request_that_is_read_late_counts_from_its_last_byte() -> None:
+def test_deadline_counts_from_the_last_byte_of_a_request_that_is_read_late() -> None:
     """Guards against time lost while commands wait unread, behind more commands than are read at once."""
 
     async def main() -> None:
@@ -35,11 +35,13 @@
 
         async with World(hang, wire={"limits": WIRE["limits"] | {"max_attempts": 1}}) as world:
             client = await world.client()
-            # 32 are read at once; 8 wait until all deadlines have passed.
+            # 32 commands are read at once; the other 8 wait until all deadlines have passed.
             _send_pay_requests(client, 0, 40, SHORT_MS)
             await asyncio.sleep(0.2)
             sent_at = loop.time()
-            _send_pay_requests(client, 40, 8, LONG_MS)  # these stay in the socket buffer until then
+            _send_pay_requests(
+                client, 40, 8, LONG_MS
+            )  # they stay in the socket buffer until the deadlines have passed
             answers = [str(await client.answer()) for _ in range(40)]
             assert answers[32:] == ["-BUSY"] * 8, answers
             assert not [request_id for request_id in received if 32 <= int(request_id) < 40]
@@ -117,8 +119,8 @@
     run(main())
 
 
-def test_request_that_crosses_the_close_does_not_drop_replies() -> None:
-    """Guards against a close with unread input: it sends a reset, which drops replies not sent yet."""
+def test_request_that_arrives_during_a_close_does_not_drop_replies() -> None:
+    """A close with unread input sends a reset, which would drop the replies that are not sent yet."""
 
     async def main() -> None:
         value = b"v" * 60_000
@@ -139,7 +141,7 @@
     run(main())
 
 
-def test_request_behind_a_long_value_is_not_executed_before_the_value_is_complete() -> None:
+def test_request_behind_a_long_value_waits_until_the_value_is_complete() -> None:
     """Guards against losing requests behind a value that is cut short, which ends its connection."""
 
     async def main() -> None:
@@ -184,8 +186,8 @@
     run(main())
 
 
-def test_slow_reader_whose_connection_is_closing_is_not_evicted_before_it_has_its_replies() -> None:
-    """Guards against evicting it for new clients beyond the budget while replies are in transit to it."""
+def test_slow_reader_on_a_closing_connection_is_not_evicted_before_its_last_reply() -> None:
+    """Guards against evicting the slow reader for new clients while replies to it are in transit."""
 
     async def main() -> None:
         value = b"v" * 60_000
--- a/tests/test_audit_counter.py
+++ b/tests/test_audit_counter.py
@@ -1,4 +1,4 @@
-"""Totals and amounts exchanged with the counter, and the plan by which a request is metered."""
+"""Totals and amounts exchanged with the counter, and the plan that a request is metered by."""
 
 from __future__ import annotations
 
@@ -45,7 +45,7 @@
 
 
 def test_a_request_is_metered_by_the_plan_that_it_names() -> None:
-    """An earlier request of the same customer may have named another plan, by mistake or malice."""
+    """Guards against an earlier request of the customer that named another plan, by mistake or malice."""
     small, large = it.Plan(price=1, rate=2, burst=8), it.Plan(price=1, rate=1000, burst=1000)
     for counter in (False, True):
         for first, then in ((0, 1), (1, 0)):
--- a/tests/test_audit_system_calls.py
+++ b/tests/test_audit_system_calls.py
@@ -33,8 +33,8 @@
         return getattr(self.real, name)
 
 
-def test_pending_connections_are_served_at_shutdown_though_accept_fails_temporarily() -> None:
-    """The system has already accepted these connections and their requests, and a reset would lose them."""
+def test_pending_connections_are_served_at_shutdown_despite_failing_accepts() -> None:
+    """The kernel has already established these connections, and a reset would lose their requests."""
 
     async def main() -> None:
         for error in (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM):
@@ -55,7 +55,7 @@
     run(main())
 
 
-def test_a_local_shortage_of_descriptors_delays_a_connect_and_fails_no_request(tmp_path: Path) -> None:
+def test_a_shortage_of_descriptors_delays_a_connect_and_fails_no_request(tmp_path: Path) -> None:
     """The first request occupies the only connection, and the socket() call of the second fails at first."""
 
     async def main() -> None:
@@ -105,9 +105,7 @@
     run(main())
 
 
-def test_a_start_retries_to_listen_after_temporary_failures(
-    tmp_path: Path,
-) -> None:
+def test_a_start_retries_to_listen_after_temporary_failures(tmp_path: Path) -> None:
     """The process runs with a `socket.create_server` that at first fails for lack of buffers."""
 
     async def main() -> None:
--- a/tests/test_node_clients.py
+++ b/tests/test_node_clients.py
@@ -294,7 +294,7 @@
     run(main())
 
 
-def test_disconnect_frees_all_state_of_a_client_and_is_reported_to_the_decision_module() -> None:
+def test_disconnect_frees_the_state_of_a_client_and_is_reported_to_the_decision_module() -> None:
     async def main() -> None:
         gone = asyncio.Event()
         async with World(_never_answer) as world:
@@ -333,7 +333,7 @@
 
 
 @pytest.mark.parametrize("end", ["close", "reset"])
-def test_request_is_not_sent_if_its_client_leaves_while_its_body_waits_for_a_connection(end: str) -> None:
+def test_request_with_a_long_body_is_not_sent_after_its_client_has_left(end: str) -> None:
     """Reading is paused while much of the body waits, so the end of stream is not read either."""
 
     async def main() -> None:
@@ -423,7 +423,7 @@
 
 
 @pytest.mark.parametrize("waits_for", ["counter", "connection", "another"])
-def test_request_whose_client_left_while_it_waited_is_not_sent_and_returns_its_units(
+def test_waiting_request_of_a_client_that_left_is_not_sent_and_returns_its_units(
     waits_for: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(quota, "reconcile", lambda *_: None)  # it would report an earlier window
@@ -504,10 +504,8 @@
 @pytest.mark.parametrize(
     "wait", ["counter", "connect", "rested", "body", "repeat", "hosts", "unread", "behind"]
 )
-def test_no_attempt_begins_for_a_client_whose_hangup_has_arrived_but_is_not_read_yet(
-    wait: str, how: str
-) -> None:
-    """What the request waits for arrives in the same loop iteration as the hang-up of its client."""
+def test_no_attempt_begins_after_an_unread_hangup_of_the_client(wait: str, how: str) -> None:
+    """The event that the request waits for and the hang-up arrive in the same event loop iteration."""
 
     async def main() -> None:
         async with World(_never_answer, _never_answer) as world:
@@ -588,7 +586,7 @@
     run(main())
 
 
-def test_request_that_only_waited_for_a_connection_is_refused_and_not_failed() -> None:
+def test_request_that_only_waited_for_a_connection_is_refused() -> None:
     async def main() -> None:
         async with World(lambda words: served()) as world:
             held, client = _hold_attempts(world), await world.client()
--- a/tests/test_node_crowd.py
+++ b/tests/test_node_crowd.py
@@ -83,12 +83,12 @@
 
 
 @pytest.mark.parametrize("sockets", [192, 256, 1024])
-def test_idle_clients_cannot_starve_discovery_counter_hosts_and_control_of_descriptors(
+def test_idle_clients_leave_descriptors_for_discovery_counter_hosts_and_control(
     sockets: int, tmp_path: Path
 ) -> None:
-    """Guards against clients using up all descriptors: they connect while discovery is down.
+    """Guards against clients that use up all descriptors while discovery is down.
 
-    When discovery comes back, it, a request and the operators' calls still get their connections.
+    When discovery returns, the gateway still has descriptors for it, for requests and for operators' calls.
     """
 
     async def main() -> None:
@@ -104,7 +104,7 @@
             discovery=_format_address(discovery_server.address),
         ) as (process, (operators, address)):
             idle: list[socket.socket] = []
-            for burst in range(4):  # the last ones evict others, at both addresses at once
+            for burst in range(4):  # the last bursts evict earlier connections, at both addresses at once
                 os.kill(process.pid, signal.SIGSTOP)
                 for n in range(sockets // 2 + 100):
                     idle.append(sock := socket.socket())
@@ -137,12 +137,12 @@
 
 
 @pytest.mark.parametrize("discovery", ["down", "silent"])
-def test_gateways_that_start_at_once_are_ready_soon_even_without_discovery(
+def test_gateways_that_start_together_are_ready_soon_even_without_discovery(
     discovery: str, tmp_path: Path
 ) -> None:
-    """Nine in ten starts are to be ready within 10 s.
+    """Nine in ten starts have to be ready within 10 s.
 
-    A start serves from the known host list, and needs little CPU time.
+    A gateway starts with the known host list and needs little CPU time.
     """
 
     async def main() -> None:
@@ -166,7 +166,7 @@
                 client.writer.close()
 
         await asyncio.gather(*map(start, range(20)))
-        # CPU time, so that the number of processes that share a core here does not matter.
+        # CPU time does not depend on how many processes share a core.
         assert len(cpu_s) == 20 and sorted(cpu_s)[17] < 2.0
         silent.close()
         for peer in (host, counter):
@@ -176,7 +176,7 @@
 
 
 def test_start_and_request_use_a_single_thread(tmp_path: Path) -> None:
-    """Guards against a start that hangs in a futex: a single thread has no other one to wait for."""
+    """Guards against a start that hangs in a futex: a single thread waits for no other thread."""
 
     async def main() -> None:
         host, counter = await Peer(lambda words: served()).start(), await Peer(Totals()).start()
--- a/tests/test_node_size.py
+++ b/tests/test_node_size.py
@@ -1,4 +1,4 @@
-"""Values and bodies of all sizes: long ones are streamed in both directions and never held as a whole."""
+"""Values and bodies of all sizes: long ones are streamed in both directions and never buffered completely."""
 
 from __future__ import annotations
 
@@ -52,7 +52,7 @@
 
 
 async def _replace_host(world: World) -> ScriptedHost:
-    """Replace the only host of the world with a scripted one."""
+    """Replace the only host with a scripted one."""
     scripted_host = await ScriptedHost().start()
     world.parts.pools.pools[1].address = scripted_host.server.sockets[0].getsockname()
     return scripted_host
@@ -166,7 +166,7 @@
 
 
 @pytest.mark.parametrize("how", ["reset", "end", "lying"])
-def test_an_interrupted_value_is_forwarded_as_far_as_received_and_is_visibly_short(how: str) -> None:
+def test_an_interrupted_value_reaches_the_client_visibly_cut_short(how: str) -> None:
     async def main() -> None:
         value = _random_bytes(200_000)
         async with World(lambda words: served()) as world:
@@ -253,7 +253,7 @@
     run(main())
 
 
-def test_a_body_without_its_crlf_fails_the_command_before_it_is_complete_at_the_host() -> None:
+def test_a_body_without_its_crlf_never_completes_the_command_at_the_host() -> None:
     async def main() -> None:
         async with World(lambda words: served()) as world:
             scripted_host, client = await _replace_host(world), await world.client()
@@ -345,16 +345,16 @@
     run(main())
 
 
-def _start_request(drive: Drive, whole: bool) -> it.Send:
+def _start_request(drive: Drive, is_complete: bool) -> it.Send:
     drive.serial += 1
-    arrived = it.Arrived(drive.serial, drive.now + 5000, drive.serial, 0, 0, 1.0, 1.0, False, whole)
+    arrived = it.Arrived(drive.serial, drive.now + 5000, drive.serial, 0, 0, 1.0, 1.0, False, is_complete)
     (send,) = of(drive.feed(arrived), it.Send)
     return send  # type: ignore[no-any-return]
 
 
 def test_a_transfer_counts_neither_as_load_nor_as_silence_of_its_host() -> None:
     drive = Drive(settings(counter=False, limits=LIMITS), fleet=2)
-    send = _start_request(drive, whole=False)
+    send = _start_request(drive, is_complete=False)
     host = drive.gate.hosts[send.host]
     assert host.open_attempts == 0
     assert not of(drive.run_for(4000.0), it.Cancel) and host.failures == 0  # during an upload of four seconds
@@ -376,7 +376,7 @@
 @pytest.mark.parametrize("outcome", [it.Outcome.FULL, it.Outcome.UNREACHABLE, it.Outcome.RESET])
 def test_a_request_whose_body_has_been_forwarded_gets_no_other_attempt(outcome: it.Outcome) -> None:
     drive = Drive(settings(counter=False, limits=LIMITS), fleet=2)
-    send = _start_request(drive, whole=False)
+    send = _start_request(drive, is_complete=False)
     second_sends = of(drive.feed(it.AttemptEnded(send.request, 0, send.host, outcome, 50.0, False)), it.Send)
     assert second_sends  # none of the body had been sent
     end = it.AttemptEnded(send.request, 1, second_sends[0].host, outcome, 50.0, False, body_consumed=True)
--- a/tests/test_standing_clients.py
+++ b/tests/test_standing_clients.py
@@ -1,4 +1,4 @@
-"""Clients that send in pieces or in floods, during a close, or that disconnect at once."""
+"""Clients that send in pieces, in floods or during a close, and clients that disconnect at once."""
 
 from __future__ import annotations
 
@@ -162,7 +162,7 @@
     run(main())
 
 
-def test_a_request_that_arrives_during_a_close_is_not_taken_and_the_last_answer_is_complete() -> None:
+def test_a_request_that_arrives_during_a_close_is_dropped_and_the_last_reply_is_complete() -> None:
     """The request arrives after the last check for unread bytes, so that the close resets the connection."""
 
     async def main() -> None:
@@ -191,10 +191,10 @@
 
 
 @pytest.mark.parametrize("is_known", [True, False])
-def test_a_request_received_before_the_idle_limit_of_its_connection_is_checked_is_served(
+def test_an_unread_request_on_an_expired_idle_connection_is_served(
     is_known: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Holds for known and new clients. A late event loop checks time limits before it reads sockets."""
+    """A late event loop checks the time limits of known and new clients before it reads their sockets."""
 
     async def main() -> None:
         async with World(lambda words: served()) as world:
@@ -264,7 +264,7 @@
 
 @pytest.mark.parametrize("how", ["close", "reset"])
 @pytest.mark.parametrize("flood", FLOODS)
-def test_a_client_that_floods_and_disconnects_leaves_no_state_and_delays_no_other_client(
+def test_a_client_that_floods_and_disconnects_leaves_no_state_and_does_not_block_others(
     flood: str, how: str
 ) -> None:
     async def main() -> None:
@@ -360,7 +360,7 @@
     run(main())
 
 
-def test_a_connection_aborted_before_accept_does_not_block_those_queued_behind_it() -> None:
+def test_a_connection_aborted_before_accept_does_not_block_later_ones() -> None:
     """Some systems report the aborted connection as an error of accept."""
 
     async def main() -> None:
