--- a/rainturn/node/client_connection.py
+++ b/rainturn/node/client_connection.py
@@ -57,7 +57,7 @@
         self.error_count = 0
         self.has_sent_valid_command = False
         self.reading_paused = False
-        self.reading_ended = False  # whether the connection closes once the client has received its replies
+        self.reading_ended = False  # whether the connection closes as soon as the client has its replies
         self.parsing = False  # guards against recursive parsing from within a command
         self.parse_handle: asyncio.Handle | None = None  # set while parsing continues in the next iteration
         self.liveness_timer: asyncio.TimerHandle | None = None  # set while reading is paused
@@ -208,7 +208,7 @@
             self.timeouts.enter(self.timeouts.uploading, self)
 
     def _has_enough_input(self) -> bool:
-        """Return whether the parser, the body or the open requests can take no more input for now."""
+        """Return whether the parser, the body or the open requests cannot accept more input for now."""
         if self.parse_handle is not None:
             return True
         if self.body is not None and self.body.is_streamed:
@@ -399,7 +399,7 @@
             self._close_gracefully()
 
     def _close_gracefully(self) -> None:
-        """Close between requests: immediately if the client's machine has all replies, otherwise after that.
+        """Close between requests: immediately if the client's machine has all replies, otherwise once it has.
 
         Guards against bytes from the client that arrive during the close. They turn it into a reset, which
         drops the replies that have not left this machine yet.
--- a/rainturn/node/client_timeouts.py
+++ b/rainturn/node/client_timeouts.py
@@ -37,7 +37,7 @@
         """Reject a command that did not arrive completely in time."""
 
     def answer_pending_requests(self) -> None:
-        """Give final replies to the open requests that a queued error waits for."""
+        """Send the final replies of the open requests that a queued error waits for."""
 
     def check_write_progress(self) -> None:
         """Abort unless the client has read some of its replies."""
--- a/tests/test_node_crowd.py
+++ b/tests/test_node_crowd.py
@@ -166,7 +166,7 @@
                 client.writer.close()
 
         await asyncio.gather(*map(start, range(20)))
-        # CPU time does not depend on how many processes share a core.
+        # Measures CPU time, which does not depend on how many processes share a core.
         assert len(cpu_s) == 20 and sorted(cpu_s)[17] < 2.0
         silent.close()
         for peer in (host, counter):
