--- a/rainturn/node/counter.py
+++ b/rainturn/node/counter.py
@@ -48,9 +48,7 @@
         self.counter = counter
         self.calls: deque[CounterCall] = deque()  # in the order of their answers
         self.received_at = self.sent_at = counter.node.clock.now()  # times of the last bytes, Unix time in ms
-        self.is_draining = (
-            False  # whether the address has changed; the connection closes after its last answer
-        )
+        self.is_draining = False  # whether the address has changed; the last answer closes the connection
 
     def write(self, call: CounterCall, now: float) -> None:
         """Send a call."""
@@ -85,8 +83,7 @@
                     return
             self.buffer = data[offset:]
         except ProtocolError:
-            # Guards against matching an answer to the wrong call. The amounts of open calls may have been
-            # added.
+            # Guards against matching an answer to the wrong call. Open calls may have added their amounts.
             return self.close()
         if self.is_draining and not self.calls:
             self.close()
--- a/rainturn/node/gateway.py
+++ b/rainturn/node/gateway.py
@@ -191,7 +191,7 @@
         if not request.is_finished:
             # Guards against a request that the decision module has lost or holds too long: rule 1 demands a
             # reply to every request.
-            log.warning("request without an answer at its deadline")
+            log.warning("request without a reply at its deadline")
             self.end_request_now(request)
         self._forget_if_finished(request.number)
 
