--- a/rainturn/node/discovery.py
+++ b/rainturn/node/discovery.py
@@ -116,7 +116,7 @@
         self.rng = random.Random(seed)
         self.writer: asyncio.StreamWriter | None = None
         self.watch_task: asyncio.Task[None] | None = None
-        self.move_count = 0  # address changes; a list from an earlier address doesn't set `version`
+        self.address_change_count = 0  # a list from an earlier address doesn't set `version`
         self._steps: Iterator[None] = iter(())  # the remaining steps of the list that is being applied
         self._apply_task: asyncio.Task[None] | None = None
 
@@ -139,7 +139,7 @@
                     await task
         self._close_connection()
 
-    def move(self, address: tuple[str, int]) -> None:
+    def change_address(self, address: tuple[str, int]) -> None:
         """Switch to another discovery address and fetch the full list there at once.
 
         The new address may number its versions differently. A call that the old address has not answered is
@@ -150,7 +150,7 @@
             self.watch_task.cancel()
         self._close_connection()
         self.address, self.version, self.older_since = address, None, None
-        self.move_count += 1
+        self.address_change_count += 1
         self.start()
 
     # Application of lists.
@@ -176,7 +176,7 @@
         self._check_version(update)
         self._steps = self._apply_in_steps(update)
         self._apply_task = self.node.loop.create_task(self._run_steps())
-        await asyncio.shield(self._apply_task)  # `move` cancels the calls, but not a received list
+        await asyncio.shield(self._apply_task)  # `change_address` cancels the calls, but not a received list
 
     def _check_version(self, update: HostListUpdate) -> None:
         """Raise a ValueError if an update is older than the applied list."""
@@ -197,9 +197,9 @@
         self.version = update.version if (is_nonempty_full_list and is_well_formed) or not cached else None
 
     def _apply_in_steps(self, update: HostListUpdate) -> Iterator[None]:
-        move_count = self.move_count
+        address_change_count = self.address_change_count
         yield from self.updater.apply_in_steps(update)
-        if move_count == self.move_count:
+        if address_change_count == self.address_change_count:
             self.version = update.version
 
     async def _run_steps(self) -> None:
--- a/rainturn/node/host_pools.py
+++ b/rainturn/node/host_pools.py
@@ -112,7 +112,12 @@
         """Send an attempt unless it became pointless while it waited; returns whether it was sent."""
         node, now = self.node, self.node.clock.now()
         request = attempt.request
-        if request.done or self.is_leaving or now > attempt.begin_by or not request.client.is_connected():
+        if (
+            request.is_finished
+            or self.is_leaving
+            or now > attempt.begin_by
+            or not request.client.is_connected()
+        ):
             # Guards against a connection that is established late: the request may have ended (rule 1), the
             # hosts may have forgotten its key (rule 2), or the host may have begun to leave (rule 3). Also
             # guards against a client that has closed its connection while the gateway has not read that yet,
--- a/rainturn/node/list_intake.py
+++ b/rainturn/node/list_intake.py
@@ -211,7 +211,7 @@
 
     def _feed(self, kind: it.ListKind, entries: list[it.HostEntry]) -> None:
         """Pass a list event to the decision module, then end the attempts that wait for leaving hosts."""
-        self.node.feed(it.HostList(kind, tuple(entries)))
+        self.node.dispatch(it.HostList(kind, tuple(entries)))
         self.pools.end_waiting_at_leaving_hosts()
 
     def _is_unlisted(self, host: ListedHost) -> bool:
--- a/tests/test_node_size.py
+++ b/tests/test_node_size.py
@@ -1,4 +1,4 @@
-"""Values and bodies of all sizes: long ones are streamed in both directions and never held as a whole."""
+"""Values and bodies of all sizes: long ones are streamed in both directions and never buffered completely."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 from rainturn import interface as it
 from rainturn.node import client_timeouts, host_connection, host_pools
-from rainturn.node.resp import MAX_BUFFERED_BYTES, pack
+from rainturn.node.resp import MAX_BUFFERED_BYTES, encode_array
 from tests.helpers import LIMITS, Drive, of, settings
 from tests.sockets import Client, World, reset, run, served, soon
 
@@ -52,7 +52,7 @@
 
 
 async def _replace_host(world: World) -> ScriptedHost:
-    """Replace the only host of the world with a scripted one."""
+    """Replace the only host with a scripted one."""
     scripted_host = await ScriptedHost().start()
     world.parts.pools.pools[1].address = scripted_host.server.sockets[0].getsockname()
     return scripted_host
@@ -84,7 +84,7 @@
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
             writer: asyncio.StreamWriter | None = None
             for request_id in (b"1", b"2"):  # the second request uses the same connections
-                command = pack([b"API.WRITE", b"00000000b4d65521", request_id, FIELDS % b"pay", body])
+                command = encode_array([b"API.WRITE", b"00000000b4d65521", request_id, FIELDS % b"pay", body])
 
                 async def send(command: bytes = command) -> None:
                     for piece in _split(command):
@@ -168,7 +168,7 @@
 
 
 @pytest.mark.parametrize("how", ["reset", "end", "lying"])
-def test_an_interrupted_value_is_forwarded_as_far_as_received_and_is_visibly_short(how: str) -> None:
+def test_an_interrupted_value_reaches_the_client_visibly_cut_short(how: str) -> None:
     async def main() -> None:
         value = _random_bytes(200_000)
         async with World(lambda words: served()) as world:
@@ -240,7 +240,9 @@
     async def main() -> None:
         async with World(lambda words: served()) as world:
             scripted_host, client = await _replace_host(world), await world.client()
-            command = pack([b"API.WRITE", b"00000000b4d65521", b"1", FIELDS % b"pay", _random_bytes(100_000)])
+            command = encode_array(
+                [b"API.WRITE", b"00000000b4d65521", b"1", FIELDS % b"pay", _random_bytes(100_000)]
+            )
             client.writer.write(command[:70_000])
             reader, writer = await scripted_host.next(world)
             assert str(await client.answer()).startswith("-ERR the command did not come whole")
@@ -253,11 +255,13 @@
     run(main())
 
 
-def test_a_body_without_its_crlf_fails_the_command_before_it_is_complete_at_the_host() -> None:
+def test_a_body_without_its_crlf_never_completes_the_command_at_the_host() -> None:
     async def main() -> None:
         async with World(lambda words: served()) as world:
             scripted_host, client = await _replace_host(world), await world.client()
-            command = pack([b"API.WRITE", b"00000000b4d65521", b"1", FIELDS % b"pay", _random_bytes(100_000)])
+            command = encode_array(
+                [b"API.WRITE", b"00000000b4d65521", b"1", FIELDS % b"pay", _random_bytes(100_000)]
+            )
             client.writer.write(command[:70_000])
             reader, _ = await scripted_host.next(world)
             client.writer.write(command[70_000:-2] + b"xx")
@@ -290,7 +294,7 @@
             scripted_host = await _replace_host(world)
             for uploading in (True, False):
                 client = await world.client()
-                command = pack(
+                command = encode_array(
                     [
                         b"API.WRITE",
                         b"00000000b4d65521",
@@ -343,16 +347,16 @@
     run(main())
 
 
-def _start_request(drive: Drive, whole: bool) -> it.Send:
+def _start_request(drive: Drive, is_complete: bool) -> it.Send:
     drive.serial += 1
-    arrived = it.Arrived(drive.serial, drive.now + 5000, drive.serial, 0, 0, 1.0, 1.0, False, whole)
+    arrived = it.Arrived(drive.serial, drive.now + 5000, drive.serial, 0, 0, 1.0, 1.0, False, is_complete)
     (send,) = of(drive.feed(arrived), it.Send)
     return send  # type: ignore[no-any-return]
 
 
 def test_a_transfer_counts_neither_as_load_nor_as_silence_of_its_host() -> None:
     drive = Drive(settings(counter=False, limits=LIMITS), fleet=2)
-    send = _start_request(drive, whole=False)
+    send = _start_request(drive, is_complete=False)
     host = drive.gate.hosts[send.host]
     assert host.open_attempts == 0
     assert not of(drive.run_for(4000.0), it.Cancel) and host.failures == 0  # during an upload of four seconds
@@ -374,7 +378,7 @@
 @pytest.mark.parametrize("outcome", [it.Outcome.FULL, it.Outcome.UNREACHABLE, it.Outcome.RESET])
 def test_a_request_whose_body_has_been_forwarded_gets_no_other_attempt(outcome: it.Outcome) -> None:
     drive = Drive(settings(counter=False, limits=LIMITS), fleet=2)
-    send = _start_request(drive, whole=False)
+    send = _start_request(drive, is_complete=False)
     second_sends = of(drive.feed(it.AttemptEnded(send.request, 0, send.host, outcome, 50.0, False)), it.Send)
     assert second_sends  # none of the body had been sent
     end = it.AttemptEnded(send.request, 1, second_sends[0].host, outcome, 50.0, False, body_consumed=True)
--- a/tests/test_standing_clients.py
+++ b/tests/test_standing_clients.py
@@ -1,4 +1,4 @@
-"""Clients that send in pieces or in floods, during a close, or that disconnect at once."""
+"""Clients that send in pieces, in floods or during a close, and clients that disconnect at once."""
 
 from __future__ import annotations
 
@@ -15,12 +15,12 @@
 from rainturn import interface as it
 from rainturn.node import client_timeouts
 from rainturn.node.gateway import Attempt, Request
-from rainturn.node.resp import pack
+from rainturn.node.resp import encode_array
 from tests.sockets import WIRE, Client, Held, World, run, served, soon
 from tests.test_node_size import ScriptedHost
 
 CUSTOMER = b"00000000b4d65521"
-PING = pack([b"PING"])
+PING = encode_array([b"PING"])
 NO_QUOTA: dict[str, Any] = {  # no counter either: its connections would change the number of descriptors
     "plans": [WIRE["plans"][0] | {"per_second": 0, "peak_units": 0}],
     "family_info": WIRE["family_info"] | {"may_count": False},
@@ -29,14 +29,14 @@
 
 
 def _encode_read(request_id: bytes, deadline_ms: int = 5000) -> bytes:
-    return pack(
+    return encode_array(
         [b"API.READ", CUSTOMER, request_id, b"c=read,t=basic,d=%d,units=1,spread=1,first=0" % deadline_ms]
     )
 
 
 def _encode_pay(request_id: bytes, body: bytes, deadline_ms: int = 5000) -> bytes:
     fields = b"c=pay,t=basic,d=%d,units=1,spread=1,first=0" % deadline_ms
-    return pack([b"API.WRITE", CUSTOMER, request_id, fields, body])
+    return encode_array([b"API.WRITE", CUSTOMER, request_id, fields, body])
 
 
 def _write_at_once(client: Client, data: bytes) -> None:
@@ -106,7 +106,7 @@
     run(main())
 
 
-@pytest.mark.parametrize("first", [PING, pack([b"NONSENSE"]), _encode_read(b"1")])
+@pytest.mark.parametrize("first", [PING, encode_array([b"NONSENSE"]), _encode_read(b"1")])
 def test_pipelined_commands_are_answered_before_a_draining_connection_closes(first: bytes) -> None:
     """All commands arrive in one read, and the first is answered immediately while connections drain."""
 
@@ -162,7 +162,7 @@
     run(main())
 
 
-def test_a_request_that_arrives_during_a_close_is_not_taken_and_the_last_answer_is_complete() -> None:
+def test_a_request_that_arrives_during_a_close_is_dropped_and_the_last_reply_is_complete() -> None:
     """The request arrives after the last check for unread bytes, so that the close resets the connection."""
 
     async def main() -> None:
@@ -191,10 +191,10 @@
 
 
 @pytest.mark.parametrize("is_known", [True, False])
-def test_a_request_received_before_the_idle_limit_of_its_connection_is_checked_is_served(
+def test_an_unread_request_on_an_expired_idle_connection_is_served(
     is_known: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Holds for known and new clients. A late event loop checks time limits before it reads sockets."""
+    """A late event loop checks the time limits of known and new clients before it reads their sockets."""
 
     async def main() -> None:
         async with World(lambda words: served()) as world:
@@ -254,7 +254,7 @@
 FLOODS = {
     "reads": b"".join(_encode_read(b"%d" % n) for n in range(4000)),
     "pings": PING * 30_000,
-    "errors": pack([b"NONSENSE"]) * 10_000,
+    "errors": encode_array([b"NONSENSE"]) * 10_000,
     "garbage": bytes(range(256)) * 2000,
     "short bodies": b"".join(_encode_pay(b"%d" % n, bytes(1000)) for n in range(400)),
     "a long body": _encode_pay(b"1", bytes(4 << 20)),
@@ -264,7 +264,7 @@
 
 @pytest.mark.parametrize("how", ["close", "reset"])
 @pytest.mark.parametrize("flood", FLOODS)
-def test_a_client_that_floods_and_disconnects_leaves_no_state_and_delays_no_other_client(
+def test_a_client_that_floods_and_disconnects_leaves_no_state_and_does_not_block_others(
     flood: str, how: str
 ) -> None:
     async def main() -> None:
@@ -360,7 +360,7 @@
     run(main())
 
 
-def test_a_connection_aborted_before_accept_does_not_block_those_queued_behind_it() -> None:
+def test_a_connection_aborted_before_accept_does_not_block_later_ones() -> None:
     """Some systems report the aborted connection as an error of accept."""
 
     async def main() -> None:
