--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -1,4 +1,4 @@
-"""Settings, and a driver for a decision module, shared by the tests."""
+"""Settings, host lists and a driver for the decision module, shared by the tests."""
 
 from __future__ import annotations
 
@@ -34,67 +34,71 @@
     return it.Settings(**(base | changes))
 
 
-def hosts(count: int, started: float = 0.0, state: it.HostState = it.HostState.READY) -> it.HostList:
-    """Return a cached list of hosts 1 to `count`, which lie in two zones in turn."""
+def hosts(count: int, started_ms: float = 0.0, state: it.HostState = it.HostState.READY) -> it.HostList:
+    """Return a cached list of the hosts 1 to `count`, alternately in zone 0 and zone 1."""
     return it.HostList(
-        it.ListKind.CACHED, tuple(it.HostEntry(n + 1, n % 2, 0, state, 1.0, started) for n in range(count))
+        it.ListKind.CACHED, tuple(it.HostEntry(n + 1, n % 2, 0, state, 1.0, started_ms) for n in range(count))
     )
 
 
-class Drive:
-    """Drives a gateway with a clock that tests set.
+class GatewayDriver:
+    """Passes events to the decision module of one gateway, with a clock that the test sets.
 
-    `gate` is the gateway, `now` the time in ms, `done` the list of all its actions so far, and `serial` the
-    number of the last request.
+    `gateway` is the decision module, `now` its time in ms, `actions` the list of all its actions so far, and
+    `last_request` the number of the last request.
     """
 
-    def __init__(self, config: it.Settings, fleet: int = 4, now: float = 100_000.0) -> None:
-        self.gate, self.now = Gateway(config, 7), now
-        self.done: list[it.Action] = []
-        self.serial = 0
-        self.feed(hosts(fleet))
+    def __init__(self, config: it.Settings, host_count: int = 4, now: float = 100_000.0) -> None:
+        self.gateway, self.now = Gateway(config, 7), now
+        self.actions: list[it.Action] = []
+        self.last_request = 0
+        self.handle(hosts(host_count))
 
-    def feed(self, event: it.Event) -> list[it.Action]:
-        """Let the gateway handle an event; return and record the actions."""
-        actions = self.gate.handle(self.now, event)
-        self.done += actions
+    def handle(self, event: it.Event) -> list[it.Action]:
+        """Pass an event to the gateway; record and return its actions."""
+        actions = self.gateway.handle(self.now, event)
+        self.actions += actions
         return actions
 
-    def arrive(
+    def start_request(
         self,
-        kind: int = 0,
+        request_class: int = 0,
         customer: int = 1,
         plan: int = 0,
         spread: float = 2.0,
         time_limit_ms: float = 5000.0,
     ) -> tuple[int, list[it.Action]]:
-        """Let a request of class `kind` arrive; return its number and the actions."""
-        self.serial += 1
-        event = it.Arrived(self.serial, self.now + time_limit_ms, customer, plan, kind, 1.0, spread)
-        return self.serial, self.feed(event)
+        """Pass the arrival of a new request to the gateway; return its number and the actions."""
+        self.last_request += 1
+        event = it.Arrived(
+            self.last_request, self.now + time_limit_ms, customer, plan, request_class, 1.0, spread
+        )
+        return self.last_request, self.handle(event)
 
-    def end(
-        self, send: it.Send, outcome: it.Outcome, attempt: int = 0, elapsed: float = 100.0
+    def end_attempt(
+        self, send: it.Send, outcome: it.Outcome, attempt: int = 0, elapsed_ms: float = 100.0
     ) -> list[it.Action]:
-        """End an attempt, by default the first of its request, and the request with it if `outcome` is OK."""
-        return self.feed(
-            it.AttemptEnded(send.request, attempt, send.host, outcome, elapsed, outcome is it.Outcome.OK)
+        """End an attempt, by default the first one of its request; the outcome OK also ends the request."""
+        return self.handle(
+            it.AttemptEnded(send.request, attempt, send.host, outcome, elapsed_ms, outcome is it.Outcome.OK)
         )
 
-    def count(self, call: it.Count, total: float, outcome: it.Outcome = it.Outcome.OK) -> list[it.Action]:
-        """Answer a counter call with the total of its count."""
-        return self.feed(it.CountAnswered(call.name, outcome, total, 2.0))
-
-    def run_for(self, span: float) -> list[it.Action]:
-        """Advance the clock by `span` ms, with a timer event every 20 ms; return all actions of that time."""
-        got: list[it.Action] = []
-        stop = self.now + span
-        while self.now < stop:
+    def answer_count(
+        self, call: it.Count, total: float, outcome: it.Outcome = it.Outcome.OK
+    ) -> list[it.Action]:
+        """Answer a call to the counter with the total of its count; return the actions."""
+        return self.handle(it.CountAnswered(call.name, outcome, total, 2.0))
+
+    def advance_clock(self, duration_ms: float) -> list[it.Action]:
+        """Advance the clock by `duration_ms`, with a timer event every 20 ms; return the actions."""
+        actions: list[it.Action] = []
+        end = self.now + duration_ms
+        while self.now < end:
             self.now += 20.0
-            got += self.feed(it.TimerFired(0))
-        return got
+            actions += self.handle(it.TimerFired(0))
+        return actions
 
 
-def of(actions: list[it.Action], kind: type) -> list[Any]:
-    """Return those of the actions that have the type `kind`."""
-    return [action for action in actions if isinstance(action, kind)]
+def of_type(actions: list[it.Action], action_type: type) -> list[Any]:
+    """Return the actions of type `action_type`."""
+    return [action for action in actions if isinstance(action, action_type)]
--- a/tests/program.py
+++ b/tests/program.py
@@ -13,11 +13,11 @@
 from typing import Any
 
 from rainturn.node.host_list import parse_address
-from tests.sockets import WIRE, soon
+from tests.sockets import DEFAULT_SETTINGS, with_timeout
 
 
-def config_file(folder: Path, **change: Any) -> str:
-    """Write a configuration without hosts, in which `change` replaces top-level keys; returns its path."""
+def write_config(folder: Path, **changes: Any) -> str:
+    """Write a configuration without hosts and return its path; `changes` replace top-level keys."""
     source = {
         "name": "n0",
         "listen": "127.0.0.1:0",
@@ -25,16 +25,16 @@
         "counter": "127.0.0.1:1",
         "seed": "2a",
         "limits": {"memory_mb": 192, "sockets": 1024},
-        "settings": WIRE,
+        "settings": DEFAULT_SETTINGS,
         "known": {"seq": 1, "whole": True, "hosts": []},
-    } | change
+    } | changes
     path = folder / "config.json"
     path.write_text(json.dumps(source))
     return str(path)
 
 
-async def started(path: str, **environment: str) -> tuple[asyncio.subprocess.Process, tuple[str, int]]:
-    """Start the program and wait until it listens; returns the process and its address for clients."""
+async def start_program(path: str, **environment: str) -> tuple[asyncio.subprocess.Process, tuple[str, int]]:
+    """Start the program and wait until it listens; return the process and its address for clients."""
     process = await asyncio.create_subprocess_exec(
         sys.executable,
         "-m",
@@ -42,26 +42,26 @@
         stderr=asyncio.subprocess.PIPE,
         env=os.environ | {"EDGE_CONFIG": path} | environment,
     )
-    return process, parse_address((await log_line(process, b"listening")).split()[-1])
+    return process, parse_address((await next_log_line(process, b"listening")).split()[-1])
 
 
-async def log_line(process: asyncio.subprocess.Process, word: bytes) -> str:
-    """Return the next log line that contains `word`; fails if the process ends before that."""
+async def next_log_line(process: asyncio.subprocess.Process, word: bytes) -> str:
+    """Return the next log line that contains `word`; fail if the process ends before that."""
     assert process.stderr is not None
-    line: bytes = await soon(process.stderr.readline())
+    line: bytes = await with_timeout(process.stderr.readline())
     while word not in line:
         assert line, "the process ended"
-        line = await soon(process.stderr.readline())
+        line = await with_timeout(process.stderr.readline())
     return str(line, "ascii")
 
 
 @contextlib.asynccontextmanager
-async def program(folder: Path, **change: Any) -> AsyncIterator[tuple[Any, tuple[str, int]]]:
-    """Run the program with its own configuration; yields the process and its address for clients.
+async def running_program(folder: Path, **changes: Any) -> AsyncIterator[tuple[Any, tuple[str, int]]]:
+    """Run the program with its own configuration; yield the process and its address for clients.
 
-    The process is killed at the end.
+    The process is killed at the end of the context.
     """
-    process, address = await started(config_file(folder, **change))
+    process, address = await start_program(write_config(folder, **changes))
     try:
         yield process, address
     finally:
@@ -70,8 +70,8 @@
         await process.wait()
 
 
-def descriptors(process: asyncio.subprocess.Process) -> set[int]:
-    """Return the open descriptors of a process."""
+def open_descriptors(process: asyncio.subprocess.Process) -> set[int]:
+    """Return the numbers of the open descriptors of a process."""
     return {int(name) for name in os.listdir(f"/proc/{process.pid}/fd")}
 
 
--- a/tests/soak.py
+++ b/tests/soak.py
@@ -31,8 +31,8 @@
 from rainturn.emulator.traffic import format_address
 from rainturn.emulator.workload import HostListEntry
 from rainturn.node.resp import pack
-from tests.program import config_file, started
-from tests.sockets import WIRE, reset
+from tests.program import start_program, write_config
+from tests.sockets import DEFAULT_SETTINGS, reset
 
 HOSTS = 5
 CLIENTS = 16
@@ -111,10 +111,12 @@
             "target_ms": self.longest_deadline_s * 400,
             "group": "all",
         }
-        classes = [one | class_changes | {"window_ms": self.window_s * 1000} for one in WIRE["classes"]]
-        limits = WIRE["limits"] | {"may_duplicate": False, "conn_idle_ms": 2000}
-        rules = WIRE["rules"] | {"drain_grace_ms": DRAIN_GRACE_S * 1000}
-        return WIRE | {"classes": classes, "limits": limits, "rules": rules}
+        classes = [
+            one | class_changes | {"window_ms": self.window_s * 1000} for one in DEFAULT_SETTINGS["classes"]
+        ]
+        limits = DEFAULT_SETTINGS["limits"] | {"may_duplicate": False, "conn_idle_ms": 2000}
+        rules = DEFAULT_SETTINGS["rules"] | {"drain_grace_ms": DRAIN_GRACE_S * 1000}
+        return DEFAULT_SETTINGS | {"classes": classes, "limits": limits, "rules": rules}
 
 
 class Host(asyncio.Protocol):
@@ -388,8 +390,8 @@
         """Run one process from its start to its end, with its clients and signals."""
         day, rng, loop = self.day, self.rng, asyncio.get_running_loop()
         listen = {"listen": format_address(self.address)} if self.address[1] else {}
-        path = config_file(self.folder, **(self.config_changes | listen))
-        process, self.address = await started(path)
+        path = write_config(self.folder, **(self.config_changes | listen))
+        process, self.address = await start_program(path)
         self.pid = process.pid
         log = loop.create_task(cast(asyncio.StreamReader, process.stderr).read())
         idle_connections: list[asyncio.StreamWriter] = []
@@ -427,7 +429,7 @@
     async def _reload(self, process: Any, path: str, listen: dict[str, Any]) -> None:
         """Write a configuration that moves discovery, and send SIGHUP once or twice."""
         self.config_changes |= {"discovery": format_address(await self.discovery.listen("later"))}
-        config_file(self.folder, **(self.config_changes | listen))
+        write_config(self.folder, **(self.config_changes | listen))
         for _ in range(self.rng.choice((1, 1, 2))):
             process.send_signal(signal.SIGHUP)
         await asyncio.sleep(self.rng.choice((0.0, 0.05, 0.3)))
--- a/tests/sockets.py
+++ b/tests/sockets.py
@@ -19,9 +19,10 @@
 from rainturn.node.configuration import parse_config
 from rainturn.node.resp import pack
 
-LONG = 10.0  # seconds; no passing test waits this long, the limit only ends a test that hangs
+TIMEOUT_S = 10.0  # no passing test waits this long; the limit only ends a test that hangs
 
-WIRE: dict[str, Any] = {
+# The settings in the form of the configuration file.
+DEFAULT_SETTINGS: dict[str, Any] = {
     "me": 0,
     "balancers": 1,
     "my_zone": 0,
@@ -77,12 +78,12 @@
 def run(main: Coroutine[Any, Any, None]) -> None:
     """Run a test on the event loop type that the program uses; a test that hangs fails."""
     with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
-        runner.run(asyncio.wait_for(main, 3 * LONG))
+        runner.run(asyncio.wait_for(main, 3 * TIMEOUT_S))
 
 
-async def soon(awaitable: Awaitable[Any]) -> Any:
-    """Await with a time limit of `LONG` seconds."""
-    return await asyncio.wait_for(awaitable, LONG)
+async def with_timeout(awaitable: Awaitable[Any]) -> Any:
+    """Await with a time limit of `TIMEOUT_S`."""
+    return await asyncio.wait_for(awaitable, TIMEOUT_S)
 
 
 def reset(writer: asyncio.StreamWriter) -> None:
@@ -92,10 +93,10 @@
     writer.transport.abort()
 
 
-class Peer:
-    """A RESP server that passes each command to `handler` and sends back what it returns.
+class RespServer:
+    """A RESP server that passes each command to `handler` and answers with the bytes that it returns.
 
-    None sends nothing, and `RESET` resets the connection.
+    If the handler returns None, no answer is sent; if it returns `RESET`, the connection is reset.
     """
 
     RESET = b"reset the connection"
@@ -108,7 +109,7 @@
         self.server: asyncio.Server
         self.address = ("", 0)
 
-    async def start(self) -> Peer:
+    async def start(self) -> RespServer:
         self.server = await asyncio.start_server(self._serve, "127.0.0.1", 0)
         self.address = self.server.sockets[0].getsockname()
         return self
@@ -139,7 +140,7 @@
             writer.transport.abort()
 
 
-class End(enum.Enum):
+class ConnectionEnd(enum.Enum):
     """How a connection ends after the bytes of a raw answer."""
 
     CLOSE = enum.auto()
@@ -164,8 +165,8 @@
         body = update if isinstance(update, bytes) else json.dumps(update).encode()
         self.answers.put_nowait(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s" % (len(body), body))
 
-    def put_raw(self, *parts: bytes | End) -> None:
-        """Answer a call with these bytes, each part written separately; an `End` ends the connection."""
+    def put_raw(self, *parts: bytes | ConnectionEnd) -> None:
+        """Answer a call with these parts, written one by one; a `ConnectionEnd` ends the connection."""
         self.answers.put_nowait(parts)
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -178,9 +179,9 @@
                 if answer is None:
                     continue
                 for part in answer if isinstance(answer, tuple) else (answer,):
-                    if part is End.RESET:
+                    if part is ConnectionEnd.RESET:
                         return reset(writer)
-                    if part is End.CLOSE:
+                    if part is ConnectionEnd.CLOSE:
                         return writer.close()
                     writer.write(part)
                     await asyncio.sleep(0)
@@ -189,7 +190,7 @@
 
 
 class Client:
-    """A client's connection."""
+    """A client of the gateway with one connection."""
 
     def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.reader, self.writer = reader, writer
@@ -202,33 +203,33 @@
     def send(self, *words: bytes) -> None:
         self.writer.write(pack(words))
 
-    def ask(
+    def send_request(
         self,
-        ident: bytes,
-        kind: bytes = b"read",
-        wait: int = 5000,
-        extra: bytes = b"",
+        request_id: bytes,
+        class_name: bytes = b"read",
+        time_limit_ms: int = 5000,
+        extra_fields: bytes = b"",
         body: bytes | None = None,
         customer: int = 0xB4D65521,
     ) -> None:
-        verb = b"API.READ" if kind == b"read" else b"API.WRITE"
-        fields = b"c=%s,t=basic,d=%d,%sunits=1,spread=1,first=0" % (kind, wait, extra)
-        self.send(verb, b"%016x" % customer, ident, fields, *([] if body is None else [body]))
+        verb = b"API.READ" if class_name == b"read" else b"API.WRITE"
+        fields = b"c=%s,t=basic,d=%d,%sunits=1,spread=1,first=0" % (class_name, time_limit_ms, extra_fields)
+        self.send(verb, b"%016x" % customer, request_id, fields, *([] if body is None else [body]))
 
-    async def answer(self) -> Any:
-        """Return the next answer (an error as a str that begins with "-").
+    async def read_answer(self) -> Any:
+        """Wait for the next answer and return it; an error becomes a str that begins with "-".
 
-        Raises EOFError when the connection has ended.
+        Raises EOFError if the connection has ended.
         """
         while (reply := self.parser.gets()) is ...:
-            data = await soon(self.reader.read(1 << 16))
+            data = await with_timeout(self.reader.read(1 << 16))
             if not data:
                 raise EOFError
             self.parser.feed(data)
         return f"-{reply}" if isinstance(reply, hiredis.ReplyError) else reply
 
 
-def entry(
+def host_entry(
     host: str, dial: str, site: str = "east", health: str = "in_service", born_ms: float = 0
 ) -> dict[str, Any]:
     return {
@@ -243,7 +244,7 @@
     }
 
 
-def served(value: bytes = b"value") -> bytes:
+def success_answer(value: bytes = b"value") -> bytes:
     return b"*3\r\n$%d\r\n%s\r\n$-1\r\n$-1\r\n" % (len(value), value)
 
 
@@ -263,7 +264,7 @@
         return getattr(self.real, name)
 
 
-class Held:
+class BlockingHandler:
     """A handler for a host that answers no command until `released` is set."""
 
     def __init__(self) -> None:
@@ -271,11 +272,11 @@
 
     async def __call__(self, words: list[bytes]) -> bytes:
         await self.released.wait()
-        return served()
+        return success_answer()
 
 
-class Totals:
-    """A handler for a counter that adds up the amounts of each count and answers with the total."""
+class CounterHandler:
+    """A handler for a counter that adds each amount to its count and answers with the total."""
 
     def __init__(self) -> None:
         self.totals: dict[bytes, float] = {}
@@ -290,33 +291,36 @@
     return any(value) if isinstance(value, tuple) else bool(value)
 
 
-class World:
-    """A gateway with a counter and hosts that answer by their handlers; its only host list is `known`."""
+class GatewaySetup:
+    """A gateway with a counter and hosts that answer through their handlers.
+
+    Its only host list is `known` in its configuration; no discovery agent listens.
+    """
 
     def __init__(
         self,
         *hosts: Handler,
         counter: Handler | None = None,
         sites: tuple[str, ...] = (),
-        descriptors: int = 200,
-        wire: dict[str, Any] | None = None,
+        max_descriptors: int = 200,
+        settings: dict[str, Any] | None = None,
         seed: str = "2a",
     ) -> None:
-        self.handlers, self.sites, self.descriptors, self.seed = hosts, sites, descriptors, seed
-        self.counter = Peer(counter or Totals())
-        self.wire = WIRE | (wire or {})
-        self.hosts: list[Peer] = []
+        self.handlers, self.sites, self.max_descriptors, self.seed = hosts, sites, max_descriptors, seed
+        self.counter = RespServer(counter or CounterHandler())
+        self.settings = DEFAULT_SETTINGS | (settings or {})
+        self.hosts: list[RespServer] = []
         self.parts: Parts
-        self.address = self.operators = ("", 0)
+        self.address = self.control_address = ("", 0)
 
-    async def __aenter__(self) -> World:
+    async def __aenter__(self) -> GatewaySetup:
         await self.counter.start()
-        self.hosts = [await Peer(handler).start() for handler in self.handlers]
+        self.hosts = [await RespServer(handler).start() for handler in self.handlers]
         sites = self.sites or ("east",) * len(self.hosts)
         known = {
             "seq": 1,
             "whole": True,
-            "hosts": [entry(f"h{n}", h.dial, sites[n]) for n, h in enumerate(self.hosts)],
+            "hosts": [host_entry(f"h{n}", h.dial, sites[n]) for n, h in enumerate(self.hosts)],
         }
         config = parse_config(
             {
@@ -325,31 +329,31 @@
                 "discovery": "127.0.0.1:1",
                 "counter": self.counter.dial,
                 "seed": self.seed,
-                "settings": self.wire,
+                "settings": self.settings,
                 "known": known,
             },
             {},
             "config",
         )
-        self.parts = assemble(config, self.descriptors, asyncio.get_running_loop())
+        self.parts = assemble(config, self.max_descriptors, asyncio.get_running_loop())
         self.address = self.parts.clients.accept_from(socket.create_server(config.listen, backlog=1024))
-        self.operators = self.parts.control.accept_from(socket.create_server(("127.0.0.1", 0)))
+        self.control_address = self.parts.control.accept_from(socket.create_server(("127.0.0.1", 0)))
         return self
 
     async def __aexit__(self, *error: object) -> None:
         await self.parts.clients.stop(True)
         self.parts.control.stop()
-        for peer in [*self.hosts, self.counter]:
-            peer.server.close()
+        for server in [*self.hosts, self.counter]:
+            server.server.close()
 
     async def client(self) -> Client:
         return await Client.connect(self.address)
 
     async def control(self, path: str, method: str = "GET") -> tuple[int, str]:
-        return await control(self.operators, path, method)
+        return await send_control_call(self.control_address, path, method)
 
-    def left_behind(self) -> dict[str, Any]:
-        """Return what the gateway holds for clients and open work, by part; idle connections don't count."""
+    def remaining_state(self) -> dict[str, Any]:
+        """Return by part what the gateway holds for clients and open work; idle connections do not count."""
         node, pools, module = self.parts.node, self.parts.pools, self.parts.node.decision_module
         attempts = module.attempts
         state: dict[str, list[Any]] = {
@@ -362,36 +366,36 @@
             "busy": [set(p.connections) - set(p.idle) for p in pools.pools.values()],
         }
         return {
-            name: left
+            name: remaining
             for name, values in state.items()
-            if (left := [v for v in values if _holds_anything(v)])
+            if (remaining := [v for v in values if _holds_anything(v)])
         }
 
-    async def emptied(self) -> None:
-        """Wait until `left_behind` returns nothing; fails after `LONG` seconds and shows what is left."""
+    async def wait_until_idle(self) -> None:
+        """Wait until `remaining_state` is empty; fail after `TIMEOUT_S` and show what remains."""
         loop = asyncio.get_running_loop()
-        end = loop.time() + LONG
-        while left := self.left_behind():
-            assert loop.time() < end, left
+        end = loop.time() + TIMEOUT_S
+        while remaining := self.remaining_state():
+            assert loop.time() < end, remaining
             await asyncio.sleep(0.01)
 
-    async def figures(self) -> dict[str, int]:
-        """Return the metrics by name, after a check of the form of each line."""
+    async def metrics(self) -> dict[str, int]:
+        """Fetch the metrics and return them by name; check the form of each line."""
         status, text = await self.control("/control/counters")
         lines = [re.fullmatch(r"gateway\.([a-z_.]+):([0-9]+)\|([cg])", line) for line in text.splitlines()]
         assert status == 200 and all(lines), text
         return {line[1]: int(line[2]) for line in lines if line}
 
 
-async def control(address: tuple[str, int], path: str, method: str = "GET") -> tuple[int, str]:
-    """Send an operator's call; returns the status and the body."""
-    return await call(address, f"{method} {path} HTTP/1.1\r\nHost: gateway\r\n\r\n".encode())
+async def send_control_call(address: tuple[str, int], path: str, method: str = "GET") -> tuple[int, str]:
+    """Send an operator's HTTP call; return the status and the body."""
+    return await send_raw_call(address, f"{method} {path} HTTP/1.1\r\nHost: gateway\r\n\r\n".encode())
 
 
-async def call(address: tuple[str, int], raw: bytes) -> tuple[int, str]:
-    """Send bytes to the operators' address and read to the end; returns the status and the body."""
+async def send_raw_call(address: tuple[str, int], raw: bytes) -> tuple[int, str]:
+    """Send bytes to the operators' address and read to the end; return the status and the body."""
     reader, writer = await asyncio.open_connection(*address)
     writer.write(raw)
-    head, _, body = (await soon(reader.read())).decode().partition("\r\n\r\n")
+    head, _, body = (await with_timeout(reader.read())).decode().partition("\r\n\r\n")
     writer.close()
     return int(head.split()[1]), body
--- a/tests/test_audit_clients.py
+++ b/tests/test_audit_clients.py
@@ -10,7 +10,15 @@
 import hiredis
 
 from rainturn.node.resp import pack
-from tests.sockets import WIRE, Client, Peer, World, run, served, soon
+from tests.sockets import (
+    DEFAULT_SETTINGS,
+    Client,
+    GatewaySetup,
+    RespServer,
+    run,
+    success_answer,
+    with_timeout,
+)
 
 SHORT_MS, LONG_MS = 700, 4000  # deadlines of requests that hang, and of those behind them
 SLACK_MS = 150.0  # tolerance for the remaining time that an attempt reports to its host
@@ -19,7 +27,7 @@
 
 def _send_pay_requests(client: Client, first: int, count: int, wait: int) -> None:
     for number in range(first, first + count):
-        client.ask(b"%d" % number, b"pay", wait, body=b"x")
+        client.send_request(b"%d" % number, b"pay", wait, body=b"x")
 
 
 def test_deadline_of_a_request_that_is_read_late_counts_from_its_last_byte() -> None:
@@ -33,14 +41,16 @@
             fields = dict(pair.split(b"=") for pair in words[3].split(b","))
             received[words[2]] = float(fields[b"d"]), loop.time()
 
-        async with World(hang, wire={"limits": WIRE["limits"] | {"max_attempts": 1}}) as world:
-            client = await world.client()
+        async with GatewaySetup(
+            hang, settings={"limits": DEFAULT_SETTINGS["limits"] | {"max_attempts": 1}}
+        ) as setup:
+            client = await setup.client()
             # 32 are read at once; 8 wait until all deadlines have passed.
             _send_pay_requests(client, 0, 40, SHORT_MS)
             await asyncio.sleep(0.2)
             sent_at = loop.time()
             _send_pay_requests(client, 40, 8, LONG_MS)  # these stay in the socket buffer until then
-            answers = [str(await client.answer()) for _ in range(40)]
+            answers = [str(await client.read_answer()) for _ in range(40)]
             assert answers[32:] == ["-BUSY"] * 8, answers
             assert not [request_id for request_id in received if 32 <= int(request_id) < 40]
             while len(received) < 40:
@@ -58,14 +68,14 @@
 
     async def main() -> None:
         loop = asyncio.get_running_loop()
-        async with World(lambda words: None) as world:
-            client = await world.client()
-            client.ask(b"1", b"pay", body=b"x")
-            await soon(world.hosts[0].commands.get())
+        async with GatewaySetup(lambda words: None) as setup:
+            client = await setup.client()
+            client.send_request(b"1", b"pay", body=b"x")
+            await with_timeout(setup.hosts[0].commands.get())
             client.writer.write(pack([b"API.READ", b"00000000b4d65521"])[:20])
             stopped_at = loop.time()
-            assert await client.answer() == "-ERR failed"
-            assert "in time" in str(await client.answer())
+            assert await client.read_answer() == "-ERR failed"
+            assert "in time" in str(await client.read_answer())
             assert loop.time() - stopped_at < 3.0 + LATE_MS / 1000
 
     run(main())
@@ -91,7 +101,7 @@
     async def read(self, pause_s: float, sends: bytes = b"") -> None:
         """Read until the connection ends, and send `sends` after every piece that is read."""
         loop = asyncio.get_running_loop()
-        while data := await soon(loop.sock_recv(self.raw, 8000)):
+        while data := await with_timeout(loop.sock_recv(self.raw, 8000)):
             self.parser.feed(data)
             with contextlib.suppress(OSError):
                 self.raw.send(sends)
@@ -105,10 +115,10 @@
 
     async def main() -> None:
         value = b"v" * 60_000
-        async with World(lambda words: served(value)) as world:
+        async with GatewaySetup(lambda words: success_answer(value)) as setup:
             with socket.socket() as raw:
                 client = SlowReader(raw)
-                await client.ask(world.address, 30)
+                await client.ask(setup.address, 30)
                 raw.send(b"garbage\r\n")
                 await client.read(0.01, sends=b"x")  # at least 2 s for 1.8 MB; the client never stops sending
             assert client.answers[:30] == [value] * 30
@@ -122,13 +132,13 @@
 
     async def main() -> None:
         value = b"v" * 60_000
-        async with World(lambda words: served(value)) as world:
+        async with GatewaySetup(lambda words: success_answer(value)) as setup:
             with socket.socket() as raw:
                 client = SlowReader(raw)
-                await client.ask(world.address, 30)
-                while len(world.parts.clients.timeouts.idle) < 1:
+                await client.ask(setup.address, 30)
+                while len(setup.parts.clients.timeouts.idle) < 1:
                     await asyncio.sleep(0.01)  # all 30 are answered; replies wait in the socket buffers
-                world.parts.clients.drain()
+                setup.parts.clients.drain()
                 await asyncio.sleep(0.05)
                 with contextlib.suppress(OSError):
                     raw.send(pack([b"PING"]))
@@ -148,23 +158,23 @@
 
         async def handler(words: list[bytes]) -> bytes | None:
             if words[2] != b"long":
-                return served()
-            writers.append(await world.hosts[0].connected.get())
+                return success_answer()
+            writers.append(await setup.hosts[0].connected.get())
             writers[0].write(b"*3\r\n$1000000\r\n" + b"v" * 100_000)
             await cut.wait()
-            return Peer.RESET
+            return RespServer.RESET
 
-        async with World(handler) as world:
-            client = await world.client()
-            client.ask(b"long")
-            assert await soon(client.reader.read(1))  # the value has begun
-            client.ask(b"behind")
+        async with GatewaySetup(handler) as setup:
+            client = await setup.client()
+            client.send_request(b"long")
+            assert await with_timeout(client.reader.read(1))  # the value has begun
+            client.send_request(b"behind")
             await asyncio.sleep(0.1)
             cut.set()
             with contextlib.suppress(ConnectionError):
-                while await soon(client.reader.read(1 << 16)):
+                while await with_timeout(client.reader.read(1 << 16)):
                     pass
-            seen = [world.hosts[0].commands.get_nowait()[2] for _ in range(world.hosts[0].commands.qsize())]
+            seen = [setup.hosts[0].commands.get_nowait()[2] for _ in range(setup.hosts[0].commands.qsize())]
             assert seen == [b"long"]
 
     run(main())
@@ -173,13 +183,15 @@
 def test_request_behind_a_long_value_is_served_after_it() -> None:
     async def main() -> None:
         value = b"v" * 300_000
-        async with World(lambda words: served(value if words[2] == b"long" else b"value")) as world:
-            client = await world.client()
+        async with GatewaySetup(
+            lambda words: success_answer(value if words[2] == b"long" else b"value")
+        ) as setup:
+            client = await setup.client()
             for number in range(3):
-                client.ask(b"long")
-                client.ask(b"%d" % number)
-                assert await client.answer() == value
-                assert await client.answer() == b"value"
+                client.send_request(b"long")
+                client.send_request(b"%d" % number)
+                assert await client.read_answer() == value
+                assert await client.read_answer() == b"value"
 
     run(main())
 
@@ -189,14 +201,14 @@
 
     async def main() -> None:
         value = b"v" * 60_000
-        async with World(lambda words: served(value), descriptors=100) as world:
+        async with GatewaySetup(lambda words: success_answer(value), max_descriptors=100) as setup:
             with socket.socket() as raw:
                 client = SlowReader(raw)
-                await client.ask(world.address, 30)
+                await client.ask(setup.address, 30)
                 raw.send(b"garbage\r\n")
-                while not world.parts.clients.timeouts.lingering:
+                while not setup.parts.clients.timeouts.lingering:
                     await asyncio.sleep(0.01)
-                crowd = [await world.client() for _ in range(2 * world.parts.clients.budget)]
+                crowd = [await setup.client() for _ in range(2 * setup.parts.clients.budget)]
                 await client.read(0.002, sends=b"x")
             # Few descriptors leave few connections to hosts: some requests are refused, which is a reply too.
             assert len(client.answers) == 31
--- a/tests/test_audit_counter.py
+++ b/tests/test_audit_counter.py
@@ -6,8 +6,8 @@
 
 from rainturn import interface as it
 from rainturn.node.resp import parse_counter_answer
-from tests.helpers import PLAN, Drive, of, settings
-from tests.sockets import World, run, soon
+from tests.helpers import PLAN, GatewayDriver, of_type, settings
+from tests.sockets import GatewaySetup, run, with_timeout
 
 READABLE_TOTALS = {
     b"0.30000000000000004": 0.3,
@@ -33,11 +33,11 @@
     amounts = (0.1 + 0.2 - 0.3, 2.5, -2.5, 1e9, 1234567.5, -1e-7, 3e9, -4e12, 0.0)
 
     async def main() -> None:
-        async with World() as world:
+        async with GatewaySetup() as setup:
             for number, amount in enumerate(amounts):
-                world.parts.counter.call(number, amount, 1000.0)
+                setup.parts.counter.call(number, amount, 1000.0)
             for amount in amounts:
-                command = await soon(world.counter.commands.get())
+                command = await with_timeout(setup.counter.commands.get())
                 assert re.fullmatch(rb"-?[0-9]+(\.[0-9]+)?", command[2]), command
                 assert abs(float(command[2]) - max(-1e9, min(1e9, amount))) < 1e-6
 
@@ -49,19 +49,19 @@
     small, large = it.Plan(price=1, rate=2, burst=8), it.Plan(price=1, rate=1000, burst=1000)
     for counter in (False, True):
         for first, then in ((0, 1), (1, 0)):
-            drive = Drive(settings(plans=(small, large), counter=counter))
+            driver = GatewayDriver(settings(plans=(small, large), counter=counter))
             totals: dict[int, float] = {}
 
-            def arrive(plan: int, drive: Drive = drive, totals: dict[int, float] = totals) -> int:
-                actions = drive.arrive(plan=plan, spread=1.0)[1]
-                sent = len(of(actions, it.Send))
-                calls = of(actions, it.Count)
+            def arrive(plan: int, driver: GatewayDriver = driver, totals: dict[int, float] = totals) -> int:
+                actions = driver.start_request(plan=plan, spread=1.0)[1]
+                sent = len(of_type(actions, it.Send))
+                calls = of_type(actions, it.Count)
                 while calls:
                     call = calls.pop(0)
                     totals[call.name] = totals.get(call.name, 0.0) + call.amount
-                    actions = drive.count(call, totals[call.name])
-                    sent += len(of(actions, it.Send))
-                    calls += of(actions, it.Count)
+                    actions = driver.answer_count(call, totals[call.name])
+                    sent += len(of_type(actions, it.Send))
+                    calls += of_type(actions, it.Count)
                 return sent
 
             arrive(first)
@@ -70,9 +70,9 @@
 
 
 def test_waiting_requests_are_decided_when_a_later_one_names_another_plan() -> None:
-    drive = Drive(settings(plans=(PLAN, it.Plan(price=1, rate=1000, burst=1000))))
-    waiting, actions = drive.arrive(plan=0)
-    assert of(actions, it.Count)
-    _, actions = drive.arrive(plan=1)
-    decided = of(actions, it.Send) + of(actions, it.Refuse)
+    driver = GatewayDriver(settings(plans=(PLAN, it.Plan(price=1, rate=1000, burst=1000))))
+    waiting, actions = driver.start_request(plan=0)
+    assert of_type(actions, it.Count)
+    _, actions = driver.start_request(plan=1)
+    decided = of_type(actions, it.Send) + of_type(actions, it.Refuse)
     assert waiting in {action.request for action in decided}
--- a/tests/test_audit_hosts.py
+++ b/tests/test_audit_hosts.py
@@ -4,27 +4,35 @@
 
 import asyncio
 
-from tests.sockets import Held, Peer, World, entry, run, served, soon
+from tests.sockets import (
+    BlockingHandler,
+    GatewaySetup,
+    RespServer,
+    host_entry,
+    run,
+    success_answer,
+    with_timeout,
+)
 
 
 def test_a_connection_to_the_old_address_of_a_host_is_not_reused() -> None:
     """The list changes the address while a request is open at the old one; the next uses the new one."""
 
     async def main() -> None:
-        held = Held()
-        moved = await Peer(lambda words: served(b"new")).start()
-        async with World(held) as world:
-            client = await world.client()
-            client.ask(b"1")
-            await soon(world.hosts[0].commands.get())
-            update = {"seq": 2, "whole": False, "hosts": [entry("h0", moved.dial)]}
-            world.parts.discovery.apply(update)
+        held = BlockingHandler()
+        moved = await RespServer(lambda words: success_answer(b"new")).start()
+        async with GatewaySetup(held) as setup:
+            client = await setup.client()
+            client.send_request(b"1")
+            await with_timeout(setup.hosts[0].commands.get())
+            update = {"seq": 2, "whole": False, "hosts": [host_entry("h0", moved.dial)]}
+            setup.parts.discovery.apply(update)
             held.released.set()
-            assert await client.answer() == b"value"
+            assert await client.read_answer() == b"value"
             await asyncio.sleep(0.05)  # a connection may be reused some milliseconds after an answer
-            client.ask(b"2")
-            assert await client.answer() == b"new"
-            assert world.hosts[0].commands.empty()
+            client.send_request(b"2")
+            assert await client.read_answer() == b"new"
+            assert setup.hosts[0].commands.empty()
         moved.server.close()
 
     run(main())
--- a/tests/test_audit_lists.py
+++ b/tests/test_audit_lists.py
@@ -10,7 +10,7 @@
 from rainturn.emulator.discovery_service import DiscoveryService
 from rainturn.emulator.workload import HostListEntry
 from rainturn.node.discovery import Discovery
-from tests.sockets import Peer, World, entry, run, served
+from tests.sockets import GatewaySetup, RespServer, host_entry, run, success_answer
 
 KNOWN_WITHIN_S = 6.0  # after discovery has the change and can be reached
 RELOAD_KNOWN_WITHIN_S = 4.0  # after SIGHUP
@@ -27,14 +27,14 @@
     """The open watch, later calls for a while, or the new address after a reload get no answer."""
 
     async def main() -> None:
-        host = await Peer(lambda words: served()).start()
+        host = await RespServer(lambda words: success_answer()).start()
         lines = [HostListEntry("h0", host.dial, "east", 0), HostListEntry("h1", host.dial, "east", 0)]
         first, second = DiscoveryService(lines), DiscoveryService(lines)
         addresses = [await service.listen("gateway") for service in (first, second)]
-        async with World(wire={"discovery": kind}) as world:
-            discovery = world.parts.discovery
+        async with GatewaySetup(settings={"discovery": kind}) as setup:
+            discovery = setup.parts.discovery
             discovery.address = addresses[0]
-            discovery.apply({"seq": 1, "whole": True, "hosts": [entry("h0", host.dial)]})
+            discovery.apply({"seq": 1, "whole": True, "hosts": [host_entry("h0", host.dial)]})
             discovery.start()
             await asyncio.sleep(0.3)  # after the first calls with a short wait; this watch has the long one
             await asyncio.wait_for(first.wait_for_watchers(1), 10)
--- a/tests/test_audit_repeats.py
+++ b/tests/test_audit_repeats.py
@@ -6,8 +6,8 @@
 from dataclasses import replace
 
 from rainturn import interface as it
-from tests.helpers import KEYED, SAFE, Drive, of, settings
-from tests.sockets import WIRE, Peer, World, run, served
+from tests.helpers import KEYED, SAFE, GatewayDriver, of_type, settings
+from tests.sockets import DEFAULT_SETTINGS, GatewaySetup, RespServer, run, success_answer
 
 MAX_DELAY_MS = 150.0  # the longest delay of a gateway between reading its clock and sending
 
@@ -16,16 +16,16 @@
     """The first attempt may have run; a client that tries again after the window is served a second time."""
 
     async def main() -> None:
-        classes = [one | {"window_ms": 300, "group": "all"} for one in WIRE["classes"]]
+        classes = [one | {"window_ms": 300, "group": "all"} for one in DEFAULT_SETTINGS["classes"]]
 
         async def handler(words: list[bytes]) -> bytes:
             await asyncio.sleep(0.5)
-            return Peer.RESET
+            return RespServer.RESET
 
-        async with World(handler, wire={"classes": classes}) as world:
-            client = await world.client()
-            client.ask(b"1", b"send", extra=b"k=77,", body=b"x")
-            assert await client.answer() == "-ERR failed"
+        async with GatewaySetup(handler, settings={"classes": classes}) as setup:
+            client = await setup.client()
+            client.send_request(b"1", b"send", extra_fields=b"k=77,", body=b"x")
+            assert await client.read_answer() == "-ERR failed"
 
     run(main())
 
@@ -33,11 +33,11 @@
 def test_no_repeat_begins_so_late_that_a_delay_moves_it_beyond_the_window() -> None:
     keyed = replace(KEYED, group=it.Group.ALL, window_ms=1000)
     for age, repeats in ((100.0, 1), (1000.0 - MAX_DELAY_MS, 0)):
-        drive = Drive(settings(classes=(SAFE, keyed), plans=(it.Plan(price=1, rate=0, burst=0),)))
-        _, actions = drive.arrive(kind=1)
-        (send,) = of(actions, it.Send)
-        drive.now += age
-        repeated = of(drive.end(send, it.Outcome.RESET, elapsed=age), it.Send)
+        driver = GatewayDriver(settings(classes=(SAFE, keyed), plans=(it.Plan(price=1, rate=0, burst=0),)))
+        _, actions = driver.start_request(request_class=1)
+        (send,) = of_type(actions, it.Send)
+        driver.now += age
+        repeated = of_type(driver.end_attempt(send, it.Outcome.RESET, elapsed_ms=age), it.Send)
         assert len(repeated) == repeats
         assert all(age + one.start_within <= keyed.window_ms - MAX_DELAY_MS for one in repeated)
 
@@ -46,19 +46,19 @@
     """Another try was harmless when the refusal was decided, but the refusal waits for the earlier answer."""
 
     async def main() -> None:
-        classes = [one | {"window_ms": 600, "group": "all"} for one in WIRE["classes"]]
+        classes = [one | {"window_ms": 600, "group": "all"} for one in DEFAULT_SETTINGS["classes"]]
 
         async def handler(words: list[bytes]) -> bytes:
             if words[2] == b"slow":
                 await asyncio.sleep(0.9)
-                return served()
+                return success_answer()
             return b"-ERR failed\r\n"
 
-        async with World(handler, handler, wire={"classes": classes}) as world:
-            client = await world.client()
-            client.ask(b"slow")
-            client.ask(b"1", b"send", extra=b"k=77,", body=b"x")
-            assert await client.answer() == b"value"
-            assert await client.answer() == "-ERR failed"
+        async with GatewaySetup(handler, handler, settings={"classes": classes}) as setup:
+            client = await setup.client()
+            client.send_request(b"slow")
+            client.send_request(b"1", b"send", extra_fields=b"k=77,", body=b"x")
+            assert await client.read_answer() == b"value"
+            assert await client.read_answer() == "-ERR failed"
 
     run(main())
--- a/tests/test_audit_system_calls.py
+++ b/tests/test_audit_system_calls.py
@@ -11,8 +11,19 @@
 from typing import Any
 
 from rainturn.node.shutdown import shut_down
-from tests.program import config_file, log_line, no_more_descriptors, program, started
-from tests.sockets import WIRE, Client, Discovery, Peer, Totals, World, entry, run, served, soon
+from tests.program import next_log_line, no_more_descriptors, running_program, start_program, write_config
+from tests.sockets import (
+    DEFAULT_SETTINGS,
+    Client,
+    CounterHandler,
+    Discovery,
+    GatewaySetup,
+    RespServer,
+    host_entry,
+    run,
+    success_answer,
+    with_timeout,
+)
 
 FAILURE_S = 0.1
 
@@ -38,18 +49,18 @@
 
     async def main() -> None:
         for error in (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM):
-            async with World(lambda words: served()) as world:
-                listener = world.parts.clients.listener
+            async with GatewaySetup(lambda words: success_answer()) as setup:
+                listener = setup.parts.clients.listener
                 assert listener is not None
-                shutdown = asyncio.create_task(shut_down(world.parts, False))
+                shutdown = asyncio.create_task(shut_down(setup.parts, False))
                 await asyncio.sleep(0.45)  # 0.05 s before the listener closes
                 failing = FailingAccept(listener, error)
-                world.parts.clients.listener = failing  # type: ignore[assignment]
-                clients = [await world.client() for _ in range(5)]
+                setup.parts.clients.listener = failing  # type: ignore[assignment]
+                clients = [await setup.client() for _ in range(5)]
                 for client in clients:
-                    client.ask(b"%d" % clients.index(client))
+                    client.send_request(b"%d" % clients.index(client))
                 for client in clients:
-                    assert await client.answer() == b"value", errno.errorcode[error]
+                    assert await client.read_answer() == b"value", errno.errorcode[error]
                 await shutdown
 
     run(main())
@@ -64,22 +75,25 @@
         async def handler(words: list[bytes]) -> bytes:
             if words[2] == b"held":
                 await release.wait()
-            return served()
-
-        host, counter = await Peer(handler).start(), await Peer(Totals()).start()
-        known = {"seq": 1, "whole": True, "hosts": [entry("h", host.dial)]}
-        limits = WIRE["limits"] | {"connect_timeout_ms": 2000}
-        settings = WIRE | {"limits": limits}
-        async with program(tmp_path, known=known, counter=counter.dial, settings=settings) as (process, at):
+            return success_answer()
+
+        host, counter = await RespServer(handler).start(), await RespServer(CounterHandler()).start()
+        known = {"seq": 1, "whole": True, "hosts": [host_entry("h", host.dial)]}
+        limits = DEFAULT_SETTINGS["limits"] | {"connect_timeout_ms": 2000}
+        settings = DEFAULT_SETTINGS | {"limits": limits}
+        async with running_program(tmp_path, known=known, counter=counter.dial, settings=settings) as (
+            process,
+            at,
+        ):
             held, client = await Client.connect(at), await Client.connect(at)
-            held.ask(b"held")
-            await soon(host.commands.get())
+            held.send_request(b"held")
+            await with_timeout(host.commands.get())
             with no_more_descriptors(process):
-                client.ask(b"1")
+                client.send_request(b"1")
                 await asyncio.sleep(FAILURE_S)
-            assert await client.answer() == b"value"
+            assert await client.read_answer() == b"value"
             release.set()
-            assert await held.answer() == b"value"
+            assert await held.read_answer() == b"value"
         for peer in (host, counter):
             peer.server.close()
 
@@ -90,15 +104,15 @@
     async def main() -> None:
         old, new = [await Discovery().start() for _ in range(2)]
         dials = [f"{host}:{port}" for host, port in (old.address, new.address)]
-        async with program(tmp_path, discovery=dials[0]) as (process, _):
-            await soon(old.calls.get())
+        async with running_program(tmp_path, discovery=dials[0]) as (process, _):
+            await with_timeout(old.calls.get())
             path = tmp_path / "config.json"
             changed = json.dumps(json.loads(path.read_text()) | {"discovery": dials[1]})
             path.write_text(changed)
             with no_more_descriptors(process):
                 process.send_signal(signal.SIGHUP)
                 await asyncio.sleep(FAILURE_S)
-            assert await soon(new.calls.get()) == "/discovery/hosts"
+            assert await with_timeout(new.calls.get()) == "/discovery/hosts"
         for agent in (old, new):
             agent.server.close()
 
@@ -123,9 +137,9 @@
             "socket.create_server = create_server\n"
         )
         control = "127.0.0.1:0"
-        process, _ = await started(config_file(tmp_path, control=control), PYTHONPATH=str(tmp_path))
+        process, _ = await start_program(write_config(tmp_path, control=control), PYTHONPATH=str(tmp_path))
         process.send_signal(signal.SIGTERM)
-        await log_line(process, b"stopped")
-        assert await soon(process.wait()) == 0
+        await next_log_line(process, b"stopped")
+        assert await with_timeout(process.wait()) == 0
 
     run(main())
--- a/tests/test_emulator_services.py
+++ b/tests/test_emulator_services.py
@@ -28,7 +28,7 @@
 from rainturn.node.host_pools import HostPools
 from rainturn.node.resp import pack
 from rainturn.settings import names_from, settings_from
-from tests.sockets import Client, run, soon
+from tests.sockets import Client, run, with_timeout
 
 DIALS = ("127.0.0.1:9",)
 
@@ -38,7 +38,7 @@
         while not condition():
             await asyncio.sleep(0.005)
 
-    await soon(poll())
+    await with_timeout(poll())
 
 
 def test_a_gateway_reads_the_settings() -> None:
@@ -74,12 +74,12 @@
         client.start()
         await until(lambda: client.seq == 1)
         assert node.decision_module.listed_count() == 30
-        await soon(service.wait_for_watchers(1))
+        await with_timeout(service.wait_for_watchers(1))
         service.change([entries[0].with_health("terminating")])
-        await soon(service.wait_for_watchers(1))
+        await with_timeout(service.wait_for_watchers(1))
         assert client.seq == 2 and node.decision_module.skipped_count() == 1
         service.change([entry.with_health(TERMINATED) for entry in entries[1:11]])
-        await soon(service.wait_for_watchers(1))
+        await with_timeout(service.wait_for_watchers(1))
         assert client.seq == 3 and node.decision_module.listed_count() == 20
         traffic = service.traffic["real"]
         assert traffic.whole_lists == 1 and traffic.messages_in >= 4
@@ -101,13 +101,13 @@
         ):
             reader, writer = await asyncio.open_connection(*address)
             writer.write(f"GET {path} HTTP/1.1\r\nHost: h\r\n\r\n".encode())
-            head = await soon(reader.readuntil(b"\r\n\r\n"))
+            head = await with_timeout(reader.readuntil(b"\r\n\r\n"))
             length = int(head.lower().split(b"content-length: ")[1].split(b"\r\n")[0])
-            assert status in head and part in await soon(reader.readexactly(length))
+            assert status in head and part in await with_timeout(reader.readexactly(length))
             writer.close()
         reader, writer = await asyncio.open_connection(*address)
         writer.write(b"no call at all\r\n\r\n")
-        assert await soon(reader.read()) == b""
+        assert await with_timeout(reader.read()) == b""
         writer.close()
         await until(lambda: not service.watchers)
         service.close()
@@ -125,7 +125,7 @@
         for _, writer in pairs:
             writer.write(b"GET /discovery/hosts HTTP/1.1\r\nHost: h\r\n\r\n")
         for reader, writer in pairs:
-            assert b"200" in await soon(reader.readline())
+            assert b"200" in await with_timeout(reader.readline())
             writer.close()
         assert loop.time() - began >= 0.115
         service.close()
@@ -174,13 +174,13 @@
             (b"ADDGET", b"n", b"0.25", b"1"),
         ):
             writer.write(pack(words))
-        lines = [await soon(reader.readline()) for _ in range(9)]
+        lines = [await with_timeout(reader.readline()) for _ in range(9)]
         assert lines[:2] == [b"+PONG\r\n", b"+OK\r\n"] and all(
             line.startswith(b"-ERR") for line in lines[2:7]
         )
         assert lines[7:] == [b"$4\r\n", b"0.25\r\n"]
         writer.write(b"?")
-        assert await soon(reader.read()) == b""
+        assert await with_timeout(reader.read()) == b""
         writer.close()
         counter.stop()
         service.close()
@@ -196,7 +196,7 @@
         await until(lambda: sum(map(len, service.connections.values())) == 2)
         reader, writer = await asyncio.open_connection(*address)
         with contextlib.suppress(ConnectionResetError):
-            assert await soon(reader.read()) == b""
+            assert await with_timeout(reader.read()) == b""
         for _, open_writer in [*pairs, (reader, writer)]:
             open_writer.close()
         await until(lambda: not any(service.connections.values()))
@@ -214,7 +214,10 @@
         began = loop.time()
         for _ in range(5):
             writer.write(pack((b"ADDGET", b"n", b"1", b"1000")))
-        totals = [(await soon(reader.readline()), await soon(reader.readline()))[1] for _ in range(5)]
+        totals = [
+            (await with_timeout(reader.readline()), await with_timeout(reader.readline()))[1]
+            for _ in range(5)
+        ]
         assert totals == [b"%d\r\n" % n for n in range(1, 6)] and loop.time() - began >= 0.095
         writer.close()
         service.close()
@@ -232,14 +235,14 @@
         tenants = Tenants(10, 4, 100.0, 1)
         drawn = tenants.draw(random.Random(1))
         client.send(*request_words(1, drawn))
-        answer = await client.answer()
+        answer = await client.read_answer()
         assert len(answer) == 3 and answer[1:] == [None, None] and int(answer[0]) >= 2000
         client.send(b"PING")
-        assert await client.answer() == b"PONG"
+        assert await client.read_answer() == b"PONG"
         client.send(b"INFO", b"load")
-        assert await client.answer() == "-NOPERM"
+        assert await client.read_answer() == "-NOPERM"
         client.send(b"NOTHING")
-        assert str(await client.answer()).startswith("-ERR")
+        assert str(await client.read_answer()).startswith("-ERR")
         client.writer.close()
         await until(lambda: not service.connections)
         service.close()
@@ -296,7 +299,7 @@
         address = await service.listen("real")
         reader, writer = await asyncio.open_connection(*address)
         writer.write(f"GET /discovery/hosts?index=1&wait={wait} HTTP/1.1\r\nHost: h\r\n\r\n".encode())
-        assert b"200" in await soon(reader.readline())
+        assert b"200" in await with_timeout(reader.readline())
         writer.close()
         service.close()
 
--- a/tests/test_node_clients.py
+++ b/tests/test_node_clients.py
@@ -18,7 +18,19 @@
 from rainturn.node.host_connection import HostConnection
 from rainturn.node.requests import Attempt
 from rainturn.node.resp import pack
-from tests.sockets import WIRE, Client, FailingListener, Held, Peer, Totals, World, reset, run, served, soon
+from tests.sockets import (
+    DEFAULT_SETTINGS,
+    BlockingHandler,
+    Client,
+    CounterHandler,
+    FailingListener,
+    GatewaySetup,
+    RespServer,
+    reset,
+    run,
+    success_answer,
+    with_timeout,
+)
 
 
 def _never_answer(words: list[bytes]) -> bytes | None:
@@ -27,11 +39,11 @@
 
 def test_value_is_returned_unchanged_and_command_is_forwarded_with_only_d_changed() -> None:
     async def main() -> None:
-        async with World(lambda words: served(b"a\r\nb")) as world:
-            client = await world.client()
-            client.ask(b"9b1f", b"send", wait=4000, extra=b"k=5c0f,", body=b"BODY")
-            assert await client.answer() == b"a\r\nb"
-            words = await soon(world.hosts[0].commands.get())
+        async with GatewaySetup(lambda words: success_answer(b"a\r\nb")) as setup:
+            client = await setup.client()
+            client.send_request(b"9b1f", b"send", time_limit_ms=4000, extra_fields=b"k=5c0f,", body=b"BODY")
+            assert await client.read_answer() == b"a\r\nb"
+            words = await with_timeout(setup.hosts[0].commands.get())
             assert words[:3] == [b"API.WRITE", b"00000000b4d65521", b"9b1f"] and words[4] == b"BODY"
             before, _, rest = words[3].partition(b"d=")
             left, _, after = rest.partition(b",")
@@ -50,22 +62,22 @@
                 await release.wait()
             else:
                 release.set()
-            return served(words[2])
+            return success_answer(words[2])
 
-        async with World(handler) as world:
-            client = await world.client()
-            client.ask(b"first")
-            client.ask(b"second")
+        async with GatewaySetup(handler) as setup:
+            client = await setup.client()
+            client.send_request(b"first")
+            client.send_request(b"second")
             client.send(b"PING")
-            assert [await client.answer() for _ in range(3)] == [b"first", b"second", b"PONG"]
+            assert [await client.read_answer() for _ in range(3)] == [b"first", b"second", b"PONG"]
 
     run(main())
 
 
 def test_invalid_commands_get_an_error_and_the_connection_stays_open() -> None:
     async def main() -> None:
-        async with World(lambda words: served()) as world:
-            client = await world.client()
+        async with GatewaySetup(lambda words: success_answer()) as setup:
+            client = await setup.client()
             customer, fields = b"00000000b4d65521", b"c=read,t=basic,d=900,units=1,spread=1,first=0"
             bad = [
                 (b"HELLO", b"3"),
@@ -97,22 +109,22 @@
             bad += [(b"API.READ", customer, ident, fields) for ident in (b"", b"a b", b"x" * 65)]
             bad.append((b"API.WRITE", customer, b"1", fields.replace(b"read", b"send")))  # no k
             for words in bad:
-                client = await world.client()
+                client = await setup.client()
                 client.send(*words)
-                assert str(await client.answer()).startswith("-ERR"), words
-            assert not world.parts.node.decision_module.customers and not world.counter.commands.qsize()
+                assert str(await client.read_answer()).startswith("-ERR"), words
+            assert not setup.parts.node.decision_module.customers and not setup.counter.commands.qsize()
             client.send(b"CLIENT", b"SETNAME", b"x")
-            client.ask(b"good")
-            assert [await client.answer(), await client.answer()] == [b"OK", b"value"]
-            assert world.hosts[0].commands.qsize() == 1
+            client.send_request(b"good")
+            assert [await client.read_answer(), await client.read_answer()] == [b"OK", b"value"]
+            assert setup.hosts[0].commands.qsize() == 1
 
     run(main())
 
 
 def test_protocol_errors_get_an_error_and_close_only_their_own_connection() -> None:
     async def main() -> None:
-        async with World(lambda words: served()) as world:
-            other = await world.client()
+        async with GatewaySetup(lambda words: success_answer()) as setup:
+            other = await setup.client()
             for raw in (
                 b"GET / HTTP/1.1\r\n\r\n",
                 b"+OK\r\n",
@@ -127,16 +139,16 @@
                 b"*4" * 200,
                 pack([b"x" * 60_000] * 4),
             ):
-                client = await world.client()
+                client = await setup.client()
                 client.writer.write(raw)
-                assert str(await client.answer()).startswith("-ERR"), raw[:20]
+                assert str(await client.read_answer()).startswith("-ERR"), raw[:20]
                 try:
-                    await client.answer()
+                    await client.read_answer()
                     raise AssertionError("the connection is still open")
                 except EOFError:
                     client.writer.close()
-            other.ask(b"good")
-            assert await other.answer() == b"value"
+            other.send_request(b"good")
+            assert await other.read_answer() == b"value"
 
     run(main())
 
@@ -149,7 +161,7 @@
 async def _closes_silently(client: Client) -> bool:
     """Return whether the connection closes without a reply; fail if it stays open."""
     with contextlib.suppress(ConnectionError):
-        return not await soon(client.reader.read())
+        return not await with_timeout(client.reader.read())
     return True
 
 
@@ -157,19 +169,19 @@
     _set_time_limits(monkeypatch, VALID_COMMAND_TIMEOUT_S=0.5, COMMAND_TIMEOUT_S=0.05, IDLE_TIMEOUT_S=0.05)
 
     async def main() -> None:
-        async with World(held := Held()) as world:
-            served_client, silent, partial_command, partial_length = [await world.client() for _ in range(4)]
-            served_client.ask(b"1")
+        async with GatewaySetup(held := BlockingHandler()) as setup:
+            served_client, silent, partial_command, partial_length = [await setup.client() for _ in range(4)]
+            served_client.send_request(b"1")
             partial_command.writer.write(b"*4\r\n$8\r\nAPI.R")
             partial_length.writer.write(b"*")
             assert await _closes_silently(silent)
             for client in (partial_command, partial_length):
-                assert "in time" in str(await client.answer())
+                assert "in time" in str(await client.read_answer())
                 assert await _closes_silently(client)
             held.released.set()  # no connection is closed while a request is open
-            assert await served_client.answer() == b"value"
+            assert await served_client.read_answer() == b"value"
             assert await _closes_silently(served_client)
-            timeouts = world.parts.clients.timeouts
+            timeouts = setup.parts.clients.timeouts
             assert not (timeouts.awaiting_valid_command or timeouts.idle or timeouts.incomplete)
 
     run(main())
@@ -179,25 +191,25 @@
     _set_time_limits(monkeypatch, QUEUED_ERROR_TIMEOUT_S=0.05)
 
     async def main() -> None:
-        async with World(_never_answer) as world:
-            client = await world.client()
-            client.ask(b"1")
-            client.ask(b"2", b"pay", body=b"x")
-            await soon(world.hosts[0].commands.get())
-            await soon(world.hosts[0].commands.get())
+        async with GatewaySetup(_never_answer) as setup:
+            client = await setup.client()
+            client.send_request(b"1")
+            client.send_request(b"2", b"pay", body=b"x")
+            await with_timeout(setup.hosts[0].commands.get())
+            await with_timeout(setup.hosts[0].commands.get())
             client.writer.write(b"garbage\r\n")
-            answers = [str(await client.answer()) for _ in range(3)]
+            answers = [str(await client.read_answer()) for _ in range(3)]
             assert answers[:2] == ["-BUSY", "-ERR failed"] and "-ERR expected" in answers[2]
 
     run(main())
 
 
-async def _client_that_never_reads(world: World) -> Client:
+async def _client_that_never_reads(setup: GatewaySetup) -> Client:
     """Return a client that sends a thousand requests and reads nothing."""
-    client = Client(*await asyncio.open_connection(*world.address, limit=1024))
+    client = Client(*await asyncio.open_connection(*setup.address, limit=1024))
     client.writer.transport.pause_reading()  # type: ignore[attr-defined]
     for number in range(1000):
-        client.ask(b"%d" % number)
+        client.send_request(b"%d" % number)
     return client
 
 
@@ -205,9 +217,9 @@
     _set_time_limits(monkeypatch, WRITE_STALL_TIMEOUT_S=0.05)
 
     async def main() -> None:
-        async with World(lambda words: served(b"x" * 60_000)) as world:
-            await _client_that_never_reads(world)
-            while world.parts.clients.connections:
+        async with GatewaySetup(lambda words: success_answer(b"x" * 60_000)) as setup:
+            await _client_that_never_reads(setup)
+            while setup.parts.clients.connections:
                 await asyncio.sleep(0.01)
 
     run(main())
@@ -215,28 +227,28 @@
 
 def test_request_id_is_rejected_while_it_is_open_and_accepted_afterwards() -> None:
     async def main() -> None:
-        async with World(held := Held()) as world:
-            client, other = await world.client(), await world.client()
-            client.ask(b"1")
-            await soon(world.hosts[0].commands.get())
-            other.ask(b"1")
-            assert "is open" in str(await other.answer())
+        async with GatewaySetup(held := BlockingHandler()) as setup:
+            client, other = await setup.client(), await setup.client()
+            client.send_request(b"1")
+            await with_timeout(setup.hosts[0].commands.get())
+            other.send_request(b"1")
+            assert "is open" in str(await other.read_answer())
             held.released.set()
-            assert await client.answer() == b"value"
-            other.ask(b"1")
-            assert await other.answer() == b"value"
-            assert not world.parts.node.request_ids
+            assert await client.read_answer() == b"value"
+            other.send_request(b"1")
+            assert await other.read_answer() == b"value"
+            assert not setup.parts.node.request_ids
 
     run(main())
 
 
 def test_client_that_sends_only_invalid_commands_is_disconnected() -> None:
     async def main() -> None:
-        async with World(lambda words: served()) as world:
-            client = await world.client()
+        async with GatewaySetup(lambda words: success_answer()) as setup:
+            client = await setup.client()
             for _ in range(500):
                 client.send(b"NONSENSE")
-            answers = [await client.answer() for _ in range(client_connection.MAX_ERRORS + 1)]
+            answers = [await client.read_answer() for _ in range(client_connection.MAX_ERRORS + 1)]
             assert answers[-1] == "-ERR too many errors" and answers[0] == "-ERR unknown command"
             assert await _closes_silently(client)
 
@@ -245,42 +257,42 @@
 
 def test_many_silent_clients_do_not_evict_a_client_that_was_served() -> None:
     async def main() -> None:
-        async with World(lambda words: served()) as world:
-            world.parts.clients.budget = 4
-            good = await world.client()
-            good.ask(b"1")
-            assert await good.answer() == b"value"
-            crowd = [await world.client() for _ in range(40)]
+        async with GatewaySetup(lambda words: success_answer()) as setup:
+            setup.parts.clients.budget = 4
+            good = await setup.client()
+            good.send_request(b"1")
+            assert await good.read_answer() == b"value"
+            crowd = [await setup.client() for _ in range(40)]
             for silent in crowd[:30]:
                 assert await _closes_silently(silent)
-            good.ask(b"2")
-            assert await good.answer() == b"value"
+            good.send_request(b"2")
+            assert await good.read_answer() == b"value"
 
     run(main())
 
 
 def test_protocol_error_does_not_lose_the_request_before_it() -> None:
     async def main() -> None:
-        async with World(held := Held()) as world:
-            client = await world.client()
-            client.ask(b"1")
+        async with GatewaySetup(held := BlockingHandler()) as setup:
+            client = await setup.client()
+            client.send_request(b"1")
             client.writer.write(b"garbage\r\n")
-            await soon(world.hosts[0].commands.get())
+            await with_timeout(setup.hosts[0].commands.get())
             held.released.set()
-            assert await client.answer() == b"value"
-            assert str(await client.answer()).startswith("-ERR")
+            assert await client.read_answer() == b"value"
+            assert str(await client.read_answer()).startswith("-ERR")
 
     run(main())
 
 
 def test_ping_succeeds_only_when_there_is_a_host() -> None:
     async def main() -> None:
-        async with World() as world:
-            client = await world.client()
+        async with GatewaySetup() as setup:
+            client = await setup.client()
             client.send(b"PING")
-            assert str(await client.answer()).startswith("-ERR")
-            host = await Peer(lambda words: served()).start()
-            world.parts.discovery.apply(
+            assert str(await client.read_answer()).startswith("-ERR")
+            host = await RespServer(lambda words: success_answer()).start()
+            setup.parts.discovery.apply(
                 {
                     "seq": 2,
                     "whole": False,
@@ -288,7 +300,7 @@
                 }
             )
             client.send(b"PING")
-            assert await client.answer() == b"PONG"
+            assert await client.read_answer() == b"PONG"
             host.server.close()
 
     run(main())
@@ -297,8 +309,8 @@
 def test_disconnect_frees_all_state_of_a_client_and_is_reported_to_the_decision_module() -> None:
     async def main() -> None:
         gone = asyncio.Event()
-        async with World(_never_answer) as world:
-            node = world.parts.node
+        async with GatewaySetup(_never_answer) as setup:
+            node = setup.parts.node
             handle = node.decision_module.handle
 
             def spy(now: float, event: it.Event) -> list[it.Action]:
@@ -307,28 +319,30 @@
                 return handle(now, event)
 
             node.decision_module.handle = spy  # type: ignore[method-assign]
-            client = await world.client()
-            client.ask(b"1", wait=1000)
-            await soon(world.hosts[0].commands.get())
+            client = await setup.client()
+            client.send_request(b"1", time_limit_ms=1000)
+            await with_timeout(setup.hosts[0].commands.get())
             client.writer.close()
-            await soon(gone.wait())
+            await with_timeout(gone.wait())
             assert (
-                not node.decision_module.open and not world.parts.clients.connections and not node.unanswered
+                not node.decision_module.open and not setup.parts.clients.connections and not node.unanswered
             )
-            await soon(world.hosts[0].closed.get())  # the attempt ends at the deadline with its connection
+            await with_timeout(
+                setup.hosts[0].closed.get()
+            )  # the attempt ends at the deadline with its connection
             assert not node.requests and not node.held_bytes
 
     run(main())
 
 
-def _hold_attempts(world: World) -> list[Attempt]:
+def _hold_attempts(setup: GatewaySetup) -> list[Attempt]:
     """Hold back all further attempts until the test starts them, and return their list."""
     held: list[Attempt] = []
 
     def hold(attempt: Attempt) -> None:
         held.append(attempt)
 
-    world.parts.pools.start = hold  # type: ignore[method-assign]
+    setup.parts.pools.start = hold  # type: ignore[method-assign]
     return held
 
 
@@ -337,13 +351,13 @@
     """Reading is paused while much of the body waits, so the end of stream is not read either."""
 
     async def main() -> None:
-        async with World(lambda words: served()) as world:
-            node, start = world.parts.node, world.parts.pools.start
-            held, client = _hold_attempts(world), await world.client()
+        async with GatewaySetup(lambda words: success_answer()) as setup:
+            node, start = setup.parts.node, setup.parts.pools.start
+            held, client = _hold_attempts(setup), await setup.client()
             head = b"c=pay,t=basic,d=5000,units=1,spread=1,first=0"
             command = pack([b"API.WRITE", b"00000000b4d65521", b"1", head, bytes(200_000)])
             client.writer.write(command[:150_000])
-            (connection,) = await _wait_for_connections(world)
+            (connection,) = await _wait_for_connections(setup)
             while not (held and connection.reading_paused):
                 await asyncio.sleep(0)
             if end == "reset":
@@ -353,33 +367,33 @@
             while not held[0].request.done:
                 await asyncio.sleep(0.01)
             start(held[0])  # its connection is established
-            while node.requests or world.parts.clients.connections:  # reported one loop iteration later
+            while node.requests or setup.parts.clients.connections:  # reported one loop iteration later
                 await asyncio.sleep(0.01)
-            assert world.hosts[0].commands.empty() and not node.held_bytes and not node.unanswered
+            assert setup.hosts[0].commands.empty() and not node.held_bytes and not node.unanswered
             assert not node.decision_module.open
 
     run(main())
 
 
-async def _wait_for_connections(world: World) -> list[client_connection.ClientConnection]:
-    while not world.parts.clients.connections:
+async def _wait_for_connections(setup: GatewaySetup) -> list[client_connection.ClientConnection]:
+    while not setup.parts.clients.connections:
         await asyncio.sleep(0)
-    return list(world.parts.clients.connections)
+    return list(setup.parts.clients.connections)
 
 
 def test_buffered_commands_of_a_disconnected_client_are_not_executed() -> None:
     """The first requests reach the limit of open ones; the others and the end of stream stay unread."""
 
     async def main() -> None:
-        async with World(_never_answer) as world:
-            node, client = world.parts.node, await world.client()
+        async with GatewaySetup(_never_answer) as setup:
+            node, client = setup.parts.node, await setup.client()
             for n in range(client_connection.MAX_PENDING + 8):
-                client.ask(b"%d" % n, wait=3000)
-            (connection,) = await _wait_for_connections(world)
+                client.send_request(b"%d" % n, time_limit_ms=3000)
+            (connection,) = await _wait_for_connections(setup)
             while not connection.reading_paused:
                 await asyncio.sleep(0)
             client.writer.close()
-            while world.parts.clients.connections:
+            while setup.parts.clients.connections:
                 await asyncio.sleep(0.01)
             assert (
                 node.last_request_number == client_connection.MAX_PENDING
@@ -392,31 +406,33 @@
 
 def test_end_of_stream_takes_effect_while_replies_wait_to_be_written() -> None:
     async def main() -> None:
-        async with World(lambda words: None if words[2] == b"2" else served(bytes(60_000))) as world:
-            client = await _client_with_small_receive_buffer(world)
-            client.ask(b"1")
-            client.ask(b"2", wait=4000)
-            (connection,) = await _wait_for_connections(world)
+        async with GatewaySetup(
+            lambda words: None if words[2] == b"2" else success_answer(bytes(60_000))
+        ) as setup:
+            client = await _client_with_small_receive_buffer(setup)
+            client.send_request(b"1")
+            client.send_request(b"2", time_limit_ms=4000)
+            (connection,) = await _wait_for_connections(setup)
             gateway_socket = connection.transport.get_extra_info("socket")
             gateway_socket.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
             while not connection.transport.get_write_buffer_size():
                 await asyncio.sleep(0)
             assert len(connection.pending) == 1 and not connection.reading_paused
             client.writer.write_eof()
-            while world.parts.clients.connections:
+            while setup.parts.clients.connections:
                 await asyncio.sleep(0.01)
-            (request,) = world.parts.node.requests.values()  # its attempt is still open
-            assert request.done and world.parts.node.clock.now() < request.deadline - 500.0
+            (request,) = setup.parts.node.requests.values()  # its attempt is still open
+            assert request.done and setup.parts.node.clock.now() < request.deadline - 500.0
 
     run(main())
 
 
-async def _client_with_small_receive_buffer(world: World) -> Client:
+async def _client_with_small_receive_buffer(setup: GatewaySetup) -> Client:
     """Return a client that reads nothing and has a small kernel receive buffer."""
     sock = socket.socket()
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
     sock.setblocking(False)
-    await asyncio.get_running_loop().sock_connect(sock, world.address)
+    await asyncio.get_running_loop().sock_connect(sock, setup.address)
     client = Client(*await asyncio.open_connection(sock=sock, limit=1024))
     client.writer.transport.pause_reading()  # type: ignore[attr-defined]
     return client
@@ -429,28 +445,28 @@
     monkeypatch.setattr(quota, "reconcile", lambda *_: None)  # it would report an earlier window
 
     async def main() -> None:
-        release, totals = asyncio.Event(), Totals()
+        release, totals = asyncio.Event(), CounterHandler()
 
         async def counter(words: list[bytes]) -> bytes:
             if waits_for == "counter":
                 await release.wait()
             return totals(words)
 
-        wire = {"family_info": WIRE["family_info"] | {"counter_timeout_ms": 20_000}}
-        async with World(_never_answer, counter=counter, wire=wire) as world:
-            node, start, client = world.parts.node, world.parts.pools.start, await world.client()
+        wire = {"family_info": DEFAULT_SETTINGS["family_info"] | {"counter_timeout_ms": 20_000}}
+        async with GatewaySetup(_never_answer, counter=counter, settings=wire) as setup:
+            node, start, client = setup.parts.node, setup.parts.pools.start, await setup.client()
             if waits_for == "another":
-                client.ask(b"0", wait=3000)
-                await soon(world.hosts[0].commands.get())
-            held = _hold_attempts(world)
-            client.ask(b"1", wait=3000)
+                client.send_request(b"0", time_limit_ms=3000)
+                await with_timeout(setup.hosts[0].commands.get())
+            held = _hold_attempts(setup)
+            client.send_request(b"1", time_limit_ms=3000)
             if waits_for == "counter":
-                await soon(world.counter.commands.get())
+                await with_timeout(setup.counter.commands.get())
             else:
                 while not held:
                     await asyncio.sleep(0)
             client.writer.close()
-            while world.parts.clients.connections:
+            while setup.parts.clients.connections:
                 await asyncio.sleep(0)
             release.set()
             for attempt in held:
@@ -460,7 +476,7 @@
                 await asyncio.sleep(0.01)
             while len(node.requests) > (waits_for == "another"):
                 await asyncio.sleep(0.01)
-            assert world.hosts[0].commands.empty() and not node.decision_module.open
+            assert setup.hosts[0].commands.empty() and not node.decision_module.open
             total = totals.totals[b"%d" % units_name(customer.key, customer.total_window)]
             # The other request, if there is one, reached a host.
             assert total + customer.unreported == (1 if waits_for == "another" else 0)
@@ -471,8 +487,8 @@
 class DepartingClient:
     """A client whose hang-up reaches the gateway's machine as soon as it leaves."""
 
-    def __init__(self, world: World, how: str) -> None:
-        self.sock, self.how = socket.create_connection(world.address), how
+    def __init__(self, setup: GatewaySetup, how: str) -> None:
+        self.sock, self.how = socket.create_connection(setup.address), how
         self.serial = 0
 
     def ask(self, wait: int = 3000) -> None:
@@ -489,9 +505,9 @@
             self.sock.close()
 
 
-async def _add_idle_connections(world: World, count: int) -> None:
+async def _add_idle_connections(setup: GatewaySetup, count: int) -> None:
     """Add `count` idle connections to each host that have been idle for some time."""
-    for pool in world.parts.pools.pools.values():
+    for pool in setup.parts.pools.pools.values():
         for _ in range(count):
             _, connection = await asyncio.get_running_loop().create_connection(
                 partial(HostConnection, pool, pool.address), *pool.address
@@ -510,9 +526,9 @@
     """What the request waits for arrives in the same loop iteration as the hang-up of its client."""
 
     async def main() -> None:
-        async with World(_never_answer, _never_answer) as world:
-            node, pools, departing = world.parts.node, world.parts.pools, DepartingClient(world, how)
-            start, held, sent_before = pools.start, _hold_attempts(world), 0
+        async with GatewaySetup(_never_answer, _never_answer) as setup:
+            node, pools, departing = setup.parts.node, setup.parts.pools, DepartingClient(setup, how)
+            start, held, sent_before = pools.start, _hold_attempts(setup), 0
             calls = list[int]()
             if wait == "counter":
                 node.counter.call = lambda name, amount, ttl: calls.append(name)  # type: ignore[method-assign]
@@ -535,7 +551,7 @@
                 departing.ask()
             if wait == "behind":
                 departing.ask()
-            (connection,) = await _wait_for_connections(world)
+            (connection,) = await _wait_for_connections(setup)
             while (
                 len(held)
                 < {"counter": 0, "hosts": 0, "unread": client_connection.MAX_PENDING, "behind": 2}.get(
@@ -550,12 +566,12 @@
                 await asyncio.sleep(0)
             if wait in ("repeat", "behind"):
                 start(held.pop(0))
-                while sum(host.commands.qsize() for host in world.hosts) < 1:
+                while sum(host.commands.qsize() for host in setup.hosts) < 1:
                     await asyncio.sleep(0)
                 sent_before = 1
             pools.start = start  # type: ignore[method-assign]
             if wait != "connect":  # a new connection would take an iteration, in which the hang-up is read
-                await _add_idle_connections(world, 40)
+                await _add_idle_connections(setup, 40)
             departing.leave()
             if wait == "counter":
                 for name in calls:  # the total of the last window is requested as well
@@ -577,11 +593,11 @@
                 sum(c.attempt is not None for pool in pools.pools.values() for c in pool.connections)
                 <= sent_before
             )
-            while world.parts.clients.connections or any(p.waiting for p in pools.pools.values()):
+            while setup.parts.clients.connections or any(p.waiting for p in pools.pools.values()):
                 await asyncio.sleep(0.005)
             for _ in range(20):  # time for any written command to arrive
                 await asyncio.sleep(0.002)
-            assert sum(host.commands.qsize() for host in world.hosts) == sent_before
+            assert sum(host.commands.qsize() for host in setup.hosts) == sent_before
             assert not node.decision_module.open and not node.unanswered
             departing.sock.close()
 
@@ -590,13 +606,13 @@
 
 def test_request_that_only_waited_for_a_connection_is_refused_and_not_failed() -> None:
     async def main() -> None:
-        async with World(lambda words: served()) as world:
-            held, client = _hold_attempts(world), await world.client()
-            client.ask(b"1", b"pay", body=b"x")
+        async with GatewaySetup(lambda words: success_answer()) as setup:
+            held, client = _hold_attempts(setup), await setup.client()
+            client.send_request(b"1", b"pay", body=b"x")
             while not held:
                 await asyncio.sleep(0)
-            world.parts.node.end_request_now(held[0].request)
-            assert await client.answer() == "-BUSY"
+            setup.parts.node.end_request_now(held[0].request)
+            assert await client.read_answer() == "-BUSY"
 
     run(main())
 
@@ -605,14 +621,14 @@
     monkeypatch.setattr(client_commands, "REPLY_MARGIN_MS", 400.0)
 
     async def main() -> None:
-        async with World(_never_answer) as world:
-            client = await world.client()
+        async with GatewaySetup(_never_answer) as setup:
+            client = await setup.client()
             loop = asyncio.get_running_loop()
             sent = loop.time()
-            client.ask(b"1", wait=800)
-            client.ask(b"2", b"pay", wait=800, body=b"x")
-            assert await client.answer() == "-BUSY"  # safe to try again
-            assert await client.answer() == "-ERR failed"  # may have run
+            client.send_request(b"1", time_limit_ms=800)
+            client.send_request(b"2", b"pay", time_limit_ms=800, body=b"x")
+            assert await client.read_answer() == "-BUSY"  # safe to try again
+            assert await client.read_answer() == "-ERR failed"  # may have run
             assert loop.time() - sent < 0.8
 
     run(main())
@@ -620,50 +636,50 @@
 
 def test_new_client_evicts_the_longest_idle_one_when_descriptors_are_short() -> None:
     async def main() -> None:
-        async with World(lambda words: served()) as world:
-            world.parts.clients.budget = 2
-            first, second = await world.client(), await world.client()
+        async with GatewaySetup(lambda words: success_answer()) as setup:
+            setup.parts.clients.budget = 2
+            first, second = await setup.client(), await setup.client()
             for client in (first, second, first):
-                client.ask(b"1")
-                assert await client.answer() == b"value"
-            third = await world.client()
-            third.ask(b"3")
-            assert await third.answer() == b"value"
-            assert await soon(second.reader.read()) == b""  # the longest idle client
-            first.ask(b"4")
-            assert await first.answer() == b"value"
+                client.send_request(b"1")
+                assert await client.read_answer() == b"value"
+            third = await setup.client()
+            third.send_request(b"3")
+            assert await third.read_answer() == b"value"
+            assert await with_timeout(second.reader.read()) == b""  # the longest idle client
+            first.send_request(b"4")
+            assert await first.read_answer() == b"value"
 
     run(main())
 
 
 def test_client_waits_unaccepted_while_no_other_client_is_idle() -> None:
     async def main() -> None:
-        async with World(held := Held()) as world:
-            world.parts.clients.budget = 1
-            first = await world.client()
-            first.ask(b"1")
-            await soon(world.hosts[0].commands.get())
-            second = await world.client()
-            second.ask(b"2")
+        async with GatewaySetup(held := BlockingHandler()) as setup:
+            setup.parts.clients.budget = 1
+            first = await setup.client()
+            first.send_request(b"1")
+            await with_timeout(setup.hosts[0].commands.get())
+            second = await setup.client()
+            second.send_request(b"2")
             held.released.set()
-            assert await first.answer() == b"value"
+            assert await first.read_answer() == b"value"
             first.writer.close()
-            assert await second.answer() == b"value"
+            assert await second.read_answer() == b"value"
 
     run(main())
 
 
 def test_accepting_resumes_after_descriptors_ran_out() -> None:
     async def main() -> None:
-        async with World(lambda words: served()) as world:
-            listener = world.parts.clients.listener
+        async with GatewaySetup(lambda words: success_answer()) as setup:
+            listener = setup.parts.clients.listener
             assert listener is not None
             failing = FailingListener(listener)
-            world.parts.clients.listener = failing  # type: ignore[assignment]
-            client = await world.client()
-            client.ask(b"1")
-            await soon(failing.failed.wait())
-            assert await client.answer() == b"value"
+            setup.parts.clients.listener = failing  # type: ignore[assignment]
+            client = await setup.client()
+            client.send_request(b"1")
+            await with_timeout(failing.failed.wait())
+            assert await client.read_answer() == b"value"
 
     run(main())
 
@@ -678,30 +694,30 @@
             blocked.set()
 
         monkeypatch.setattr(client_connection.ClientConnection, "pause_writing", pause_and_signal)
-        async with World(lambda words: served(b"x" * 60_000)) as world:
-            client = await _client_that_never_reads(world)
-            await soon(blocked.wait())
-            assert world.parts.node.last_request_number < 1000  # the gateway has stopped reading
-            for connection in world.parts.clients.connections:
+        async with GatewaySetup(lambda words: success_answer(b"x" * 60_000)) as setup:
+            client = await _client_that_never_reads(setup)
+            await with_timeout(blocked.wait())
+            assert setup.parts.node.last_request_number < 1000  # the gateway has stopped reading
+            for connection in setup.parts.clients.connections:
                 unsent_bytes = connection.transport.get_write_buffer_size()
                 assert unsent_bytes <= (1 << 16) + 60_100 * client_connection.MAX_PENDING
             client.writer.transport.resume_reading()  # type: ignore[attr-defined]
             for _ in range(1000):
-                assert len(await client.answer()) == 60_000
+                assert len(await client.read_answer()) == 60_000
 
     run(main())
 
 
 def test_requests_beyond_the_limit_of_open_ones_are_refused() -> None:
     async def main() -> None:
-        async with World(_never_answer) as world:
-            world.parts.clients.max_open = 1
-            client = await world.client()
-            client.ask(b"1", wait=900)
-            await soon(world.hosts[0].commands.get())
-            other = await world.client()
-            other.ask(b"2")
-            assert await other.answer() == "-BUSY"
+        async with GatewaySetup(_never_answer) as setup:
+            setup.parts.clients.max_open = 1
+            client = await setup.client()
+            client.send_request(b"1", time_limit_ms=900)
+            await with_timeout(setup.hosts[0].commands.get())
+            other = await setup.client()
+            other.send_request(b"2")
+            assert await other.read_answer() == "-BUSY"
 
     run(main())
 
@@ -709,12 +725,12 @@
 def test_refusal_carries_a_backoff_where_one_is_known() -> None:
     async def main() -> None:
         plan = {"name": "basic", "price": 1, "per_second": 2, "peak_units": 1}
-        async with World(lambda words: served(), wire={"plans": [plan]}) as world:
-            client = await world.client()
+        async with GatewaySetup(lambda words: success_answer(), settings={"plans": [plan]}) as setup:
+            client = await setup.client()
             answers = []
             for number in range(4):
-                client.ask(b"%d" % number)
-                answers.append(await client.answer())
+                client.send_request(b"%d" % number)
+                answers.append(await client.read_answer())
             assert answers[0] == b"value"
             word, _, wait = answers[-1].partition(" ")
             assert word == "-BUSY" and 0 < int(wait) <= 500  # one unit is added every half second
--- a/tests/test_node_crowd.py
+++ b/tests/test_node_crowd.py
@@ -21,18 +21,18 @@
 from rainturn.node.host_list import parse_address
 from rainturn.settings import settings_from
 from tests.sockets import (
-    WIRE,
+    DEFAULT_SETTINGS,
+    BlockingHandler,
     Client,
+    CounterHandler,
     Discovery,
-    Held,
-    Peer,
-    Totals,
-    World,
-    control,
-    entry,
+    GatewaySetup,
+    RespServer,
+    host_entry,
     run,
-    served,
-    soon,
+    send_control_call,
+    success_answer,
+    with_timeout,
 )
 
 
@@ -55,7 +55,7 @@
         "counter": "127.0.0.1:1",
         "seed": "2a",
         "limits": {"memory_mb": 96, "sockets": sockets},
-        "settings": WIRE,
+        "settings": DEFAULT_SETTINGS,
         "known": {"seq": 1, "whole": True, "hosts": []},
     } | change
     path = folder / "config.json"
@@ -72,7 +72,7 @@
         assert process.stderr is not None
         addresses: list[tuple[str, int]] = []
         while len(addresses) < 2:
-            assert (line := await soon(process.stderr.readline())), "the program ended"
+            assert (line := await with_timeout(process.stderr.readline())), "the program ended"
             if b"listening" in line:
                 addresses.append(parse_address(line.decode().split()[-1]))
         yield process, addresses
@@ -92,10 +92,13 @@
     """
 
     async def main() -> None:
-        host, counter = await Peer(lambda words: served()).start(), await Peer(Totals()).start()
+        host, counter = (
+            await RespServer(lambda words: success_answer()).start(),
+            await RespServer(CounterHandler()).start(),
+        )
         discovery_server = await Discovery().start()
         discovery_server.server.close()  # discovery is down: connections are refused
-        listed = {"seq": 7, "whole": True, "hosts": [entry("h", host.dial)]}
+        listed = {"seq": 7, "whole": True, "hosts": [host_entry("h", host.dial)]}
         async with _running_program(
             tmp_path,
             sockets,
@@ -113,19 +116,19 @@
                         sock.connect(operators if n < 60 else address)
                 os.kill(process.pid, signal.SIGCONT)
                 await asyncio.sleep(0.1 * (burst < 3))
-            status, _ = await control(operators, "/control/ready")
+            status, _ = await send_control_call(operators, "/control/ready")
             assert status == 503
             back = await asyncio.start_server(discovery_server._serve, *discovery_server.address)
             discovery_server.put(listed)
-            await soon(discovery_server.calls.get())
-            while (await control(operators, "/control/ready"))[0] != 200:
+            await with_timeout(discovery_server.calls.get())
+            while (await send_control_call(operators, "/control/ready"))[0] != 200:
                 await asyncio.sleep(0.02)
             client = await Client.connect(address)
-            client.ask(b"1")
-            assert await client.answer() == b"value"
+            client.send_request(b"1")
+            assert await client.read_answer() == b"value"
             assert counter.commands.qsize() > 0 and process.returncode is None
             process.terminate()
-            log = (await soon(process.stderr.read())).decode()
+            log = (await with_timeout(process.stderr.read())).decode()
             assert "EMFILE" not in log and "Too many open files" not in log, log
             for sock in idle:
                 sock.close()
@@ -146,10 +149,13 @@
     """
 
     async def main() -> None:
-        host, counter = await Peer(lambda words: served()).start(), await Peer(Totals()).start()
+        host, counter = (
+            await RespServer(lambda words: success_answer()).start(),
+            await RespServer(CounterHandler()).start(),
+        )
         silent = socket.create_server(("127.0.0.1", 0), backlog=64)
         address = _format_address(silent.getsockname()) if discovery == "silent" else "127.0.0.1:1"
-        known = {"seq": 7, "whole": True, "hosts": [entry("h", host.dial)]}
+        known = {"seq": 7, "whole": True, "hosts": [host_entry("h", host.dial)]}
         cpu_s = list[float]()
 
         async def start(number: int) -> None:
@@ -158,11 +164,11 @@
             ) as (process, (_, client_address)):
                 client = await Client.connect(client_address)
                 client.send(b"PING")
-                assert await client.answer() == b"PONG"
+                assert await client.read_answer() == b"PONG"
                 times = Path(f"/proc/{process.pid}/stat").read_text().rpartition(")")[2].split()[11:13]
                 cpu_s.append(sum(map(int, times)) / os.sysconf("SC_CLK_TCK"))
-                client.ask(b"1", customer=number)
-                assert await client.answer() == b"value"
+                client.send_request(b"1", customer=number)
+                assert await client.read_answer() == b"value"
                 client.writer.close()
 
         await asyncio.gather(*map(start, range(20)))
@@ -179,15 +185,18 @@
     """Guards against a start that hangs in a futex: a single thread has no other one to wait for."""
 
     async def main() -> None:
-        host, counter = await Peer(lambda words: served()).start(), await Peer(Totals()).start()
-        known = {"seq": 7, "whole": True, "hosts": [entry("h", host.dial)]}
+        host, counter = (
+            await RespServer(lambda words: success_answer()).start(),
+            await RespServer(CounterHandler()).start(),
+        )
+        known = {"seq": 7, "whole": True, "hosts": [host_entry("h", host.dial)]}
         async with _running_program(tmp_path, 256, counter=counter.dial, known=known) as (
             process,
             (_, client_address),
         ):
             client = await Client.connect(client_address)
-            client.ask(b"1")
-            assert await client.answer() == b"value"
+            client.send_request(b"1")
+            assert await client.read_answer() == b"value"
             assert len(os.listdir(f"/proc/{process.pid}/task")) == 1
             client.writer.close()
         for peer in (host, counter):
@@ -201,25 +210,25 @@
 
     async def main() -> None:
         wire = {"balancers": 1024, "me": 1023}
-        held = Held()
-        async with World(held, wire=wire, descriptors=256) as world:
-            discovery_server, address = await Discovery().start(), world.hosts[0].dial
-            world.parts.discovery.address = discovery_server.address
-            hosts = [entry(f"host-{n}", address, "west" if n % 2 else "east") for n in range(1024)]
+        held = BlockingHandler()
+        async with GatewaySetup(held, settings=wire, max_descriptors=256) as setup:
+            discovery_server, address = await Discovery().start(), setup.hosts[0].dial
+            setup.parts.discovery.address = discovery_server.address
+            hosts = [host_entry(f"host-{n}", address, "west" if n % 2 else "east") for n in range(1024)]
             discovery_server.put(json.dumps({"seq": 5, "whole": True, "hosts": hosts}, indent=4).encode())
-            world.parts.discovery.seq = None
-            world.parts.discovery.start()
-            while world.parts.node.decision_module.listed_count() < 1024:
+            setup.parts.discovery.seq = None
+            setup.parts.discovery.start()
+            while setup.parts.node.decision_module.listed_count() < 1024:
                 await asyncio.sleep(0.01)
-            client = await world.client()
+            client = await setup.client()
             for n in range(30):
-                client.ask(b"%d" % n)
-            while len([pool for pool in world.parts.pools.pools.values() if pool.connections]) < 10:
+                client.send_request(b"%d" % n)
+            while len([pool for pool in setup.parts.pools.pools.values() if pool.connections]) < 10:
                 await asyncio.sleep(0.01)
             held.released.set()
             for _ in range(30):
-                assert await client.answer() == b"value"
-            assert (await world.figures())["known_hosts"] == 1024
+                assert await client.read_answer() == b"value"
+            assert (await setup.metrics())["known_hosts"] == 1024
             discovery_server.put(
                 {
                     "seq": 6,
@@ -227,9 +236,9 @@
                     "hosts": [host | {"health": "terminated"} for host in hosts[:1000]],
                 }
             )
-            while world.parts.node.decision_module.listed_count() > 24:
+            while setup.parts.node.decision_module.listed_count() > 24:
                 await asyncio.sleep(0.01)
-            await world.parts.discovery.stop()
+            await setup.parts.discovery.stop()
             discovery_server.server.close()
 
     run(main())
@@ -242,7 +251,7 @@
     )
     used = set()
     for number in range(1024):
-        config = settings_from(WIRE | {"balancers": 1024, "me": number, "plans": []})
+        config = settings_from(DEFAULT_SETTINGS | {"balancers": 1024, "me": number, "plans": []})
         gateway = Gateway(config, number)
         gateway.handle(1000.0, it.HostList(it.ListKind.CACHED, entries))
         actions = gateway.handle(1001.0, it.Arrived(1, 6000.0, 1, 0, 0, 1.0, 1024.0))
--- a/tests/test_node_hosts.py
+++ b/tests/test_node_hosts.py
@@ -13,17 +13,27 @@
 from rainturn import interface as it
 from rainturn.node import host_connection, host_pools
 from rainturn.node.requests import Attempt, Request
-from tests.sockets import WIRE, Held, Peer, World, entry, reset, run, served, soon
+from tests.sockets import (
+    DEFAULT_SETTINGS,
+    BlockingHandler,
+    GatewaySetup,
+    RespServer,
+    host_entry,
+    reset,
+    run,
+    success_answer,
+    with_timeout,
+)
 
 
 class EventLog:
     """Records the events that the decision module receives, so that a test can wait for one."""
 
-    def __init__(self, world: World) -> None:
+    def __init__(self, setup: GatewaySetup) -> None:
         self.events: asyncio.Queue[it.Event] = asyncio.Queue()
         self.seen: list[it.Event] = []
-        self.original_handle = world.parts.node.decision_module.handle
-        world.parts.node.decision_module.handle = self._record  # type: ignore[method-assign]
+        self.original_handle = setup.parts.node.decision_module.handle
+        setup.parts.node.decision_module.handle = self._record  # type: ignore[method-assign]
 
     def _record(self, now: float, event: it.Event) -> list[it.Action]:
         self.events.put_nowait(event)
@@ -32,7 +42,7 @@
     async def next_end(self) -> it.AttemptEnded:
         """Wait for the next end of an attempt."""
         while True:
-            event = await soon(self.events.get())
+            event = await with_timeout(self.events.get())
             self.seen.append(event)
             if isinstance(event, it.AttemptEnded):
                 return event
@@ -62,9 +72,9 @@
     def cut_value(self, request: Request) -> None: ...
 
 
-def add_attempt(world: World) -> Attempt:
+def add_attempt(setup: GatewaySetup) -> Attempt:
     """Make an attempt at the first host, of a request that the decision module does not know."""
-    node = world.parts.node
+    node = setup.parts.node
     now = node.clock.now()
     node.last_request_number += 1
     arrival = it.Arrived(node.last_request_number, now + 3000, 1, 0, 0)
@@ -94,18 +104,18 @@
 
 def test_busy_proves_that_an_attempt_never_ran_and_an_error_does_not() -> None:
     async def main() -> None:
-        handler = _answer_first_by_id({b"1": b"-BUSY\r\n", b"2": b"-ERR failed\r\n"}, served())
-        async with World(handler, handler) as world:
-            log, client = EventLog(world), await world.client()
-            client.ask(b"1", b"pay", body=b"x")
-            assert await client.answer() == b"value"  # repeated, because it did not run
+        handler = _answer_first_by_id({b"1": b"-BUSY\r\n", b"2": b"-ERR failed\r\n"}, success_answer())
+        async with GatewaySetup(handler, handler) as setup:
+            log, client = EventLog(setup), await setup.client()
+            client.send_request(b"1", b"pay", body=b"x")
+            assert await client.read_answer() == b"value"  # repeated, because it did not run
             ends = [await log.next_end(), await log.next_end()]
             assert [(e.attempt, e.outcome, e.final) for e in ends] == [
                 (0, it.Outcome.FULL, False),
                 (1, it.Outcome.OK, True),
             ]
-            client.ask(b"2", b"pay", body=b"x")
-            assert await client.answer() == "-ERR failed"  # may have run: neither repeated nor refused
+            client.send_request(b"2", b"pay", body=b"x")
+            assert await client.read_answer() == "-ERR failed"  # may have run: neither repeated nor refused
             assert (await log.next_end()).outcome is it.Outcome.ERROR
 
     run(main())
@@ -113,31 +123,31 @@
 
 def test_a_request_whose_connection_breaks_after_its_last_byte_fails_without_a_repeat() -> None:
     async def main() -> None:
-        async with World(lambda words: Peer.RESET) as world:
-            log, client = EventLog(world), await world.client()
-            client.ask(b"1", b"pay", body=b"x")
-            assert await client.answer() == "-ERR failed"
+        async with GatewaySetup(lambda words: RespServer.RESET) as setup:
+            log, client = EventLog(setup), await setup.client()
+            client.send_request(b"1", b"pay", body=b"x")
+            assert await client.read_answer() == "-ERR failed"
             assert (await log.next_end()).outcome is it.Outcome.RESET
-            assert world.hosts[0].commands.qsize() == 1
+            assert setup.hosts[0].commands.qsize() == 1
 
     run(main())
 
 
 def test_a_connection_that_breaks_before_the_last_byte_ends_the_attempt_as_unreachable() -> None:
     async def main() -> None:
-        async with World(lambda words: served()) as world:
-            log = EventLog(world)
+        async with GatewaySetup(lambda words: success_answer()) as setup:
+            log = EventLog(setup)
             host = socket.create_server(("127.0.0.1", 0))
             host.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
             host.setblocking(False)
-            pool = world.parts.pools.pools[1]
+            pool = setup.parts.pools.pools[1]
             pool.address = host.getsockname()
-            attempt = add_attempt(world)
+            attempt = add_attempt(setup)
             attempt.request.arguments.append(b"x" * (16 << 20))  # more than the system's buffers hold
             pool.start(attempt)
-            sock, _ = await soon(asyncio.get_running_loop().sock_accept(host))
+            sock, _ = await with_timeout(asyncio.get_running_loop().sock_accept(host))
             reader, writer = await asyncio.open_connection(sock=sock, limit=1024)
-            await soon(reader.readexactly(10))
+            await with_timeout(reader.readexactly(10))
             assert attempt.connection is not None
             reset(writer)
             assert (await log.next_end()).outcome is it.Outcome.UNREACHABLE
@@ -148,12 +158,12 @@
 
 def test_a_refused_connect_ends_the_attempt_as_unreachable() -> None:
     async def main() -> None:
-        async with World(lambda words: served()) as world:
-            log, pool = EventLog(world), world.parts.pools.pools[1]
+        async with GatewaySetup(lambda words: success_answer()) as setup:
+            log, pool = EventLog(setup), setup.parts.pools.pools[1]
             with socket.socket() as closed:
                 closed.bind(("127.0.0.1", 0))  # bound but not listening
                 pool.address = closed.getsockname()
-                pool.start(add_attempt(world))
+                pool.start(add_attempt(setup))
                 assert (await log.next_end()).outcome is it.Outcome.UNREACHABLE
 
     run(main())
@@ -161,10 +171,10 @@
 
 def test_a_connect_has_a_time_limit() -> None:
     async def main() -> None:
-        async with World(
-            lambda words: served(), wire={"limits": {"max_attempts": 6, "connect_timeout_ms": 50}}
-        ) as world:
-            log = EventLog(world)
+        async with GatewaySetup(
+            lambda words: success_answer(), settings={"limits": {"max_attempts": 6, "connect_timeout_ms": 50}}
+        ) as setup:
+            log = EventLog(setup)
             unresponsive = socket.socket()
             unresponsive.bind(("127.0.0.1", 0))
             unresponsive.listen(0)
@@ -172,9 +182,9 @@
             for sock in backlog:
                 sock.setblocking(False)
                 sock.connect_ex(unresponsive.getsockname())
-            pool = world.parts.pools.pools[1]
+            pool = setup.parts.pools.pools[1]
             pool.address = unresponsive.getsockname()
-            pool.start(add_attempt(world))
+            pool.start(add_attempt(setup))
             end = await log.next_end()
             assert end.outcome is it.Outcome.UNREACHABLE and end.elapsed >= 45
             for sock in [unresponsive, *backlog]:
@@ -185,14 +195,14 @@
 
 def test_nothing_is_sent_for_a_request_that_ended_during_its_connect() -> None:
     async def main() -> None:
-        async with World(lambda words: served()) as world:
-            log, attempt = EventLog(world), add_attempt(world)
-            world.parts.pools.start(attempt)
-            world.parts.node.abandon_request(attempt.request)
+        async with GatewaySetup(lambda words: success_answer()) as setup:
+            log, attempt = EventLog(setup), add_attempt(setup)
+            setup.parts.pools.start(attempt)
+            setup.parts.node.abandon_request(attempt.request)
             assert (await log.next_end()).outcome is it.Outcome.NOT_SENT
-            world.parts.pools.pools[1].close_idle()
-            await soon(world.hosts[0].closed.get())
-            assert world.hosts[0].commands.empty()
+            setup.parts.pools.pools[1].close_idle()
+            await with_timeout(setup.hosts[0].closed.get())
+            assert setup.hosts[0].commands.empty()
 
     run(main())
 
@@ -207,59 +217,61 @@
     """
 
     async def main() -> None:
-        async with World(lambda words: served(b"leaves"), lambda words: served(b"stays")) as world:
-            pools, discovery = world.parts.pools, world.parts.discovery
-            client = await world.client()
+        async with GatewaySetup(
+            lambda words: success_answer(b"leaves"), lambda words: success_answer(b"stays")
+        ) as setup:
+            pools, discovery = setup.parts.pools, setup.parts.discovery
+            client = await setup.client()
             start, held = pools.start, list[Attempt]()
 
             def hold(attempt: Attempt) -> None:
                 held.append(attempt)
 
             pools.start = hold  # type: ignore[method-assign]
-            client.ask(b"1")
+            client.send_request(b"1")
             while not held:
                 await asyncio.sleep(0)
             leaving = 0 if held[0].host == 1 else 1
             start(held[0])  # the connect is under way
             pools.start = start  # type: ignore[method-assign]
-            hosts = [entry(f"h{n}", host.dial) for n, host in enumerate(world.hosts)]
+            hosts = [host_entry(f"h{n}", host.dial) for n, host in enumerate(setup.hosts)]
             if health == "unnamed":
                 del hosts[leaving]
             else:
                 hosts[leaving]["health"] = health
             discovery.apply({"seq": 2, "whole": True, "hosts": hosts})
-            assert await client.answer() == (b"stays" if leaving == 0 else b"leaves")
-            await soon(world.hosts[leaving].connected.get())
-            await soon(world.hosts[leaving].closed.get())
-            assert world.hosts[leaving].commands.empty()
-            assert not any(host.failures for host in world.parts.node.decision_module.hosts.values())
+            assert await client.read_answer() == (b"stays" if leaving == 0 else b"leaves")
+            await with_timeout(setup.hosts[leaving].connected.get())
+            await with_timeout(setup.hosts[leaving].closed.get())
+            assert setup.hosts[leaving].commands.empty()
+            assert not any(host.failures for host in setup.parts.node.decision_module.hosts.values())
 
     run(main())
 
 
 def test_nothing_is_sent_to_a_host_that_begins_to_leave_during_its_connect() -> None:
     async def main() -> None:
-        async with World(lambda words: served()) as world:
-            log, pool = EventLog(world), world.parts.pools.pools[1]
-            world.parts.pools.start(add_attempt(world))
+        async with GatewaySetup(lambda words: success_answer()) as setup:
+            log, pool = EventLog(setup), setup.parts.pools.pools[1]
+            setup.parts.pools.start(add_attempt(setup))
             pool.leaving = True
             assert (await log.next_end()).outcome is it.Outcome.NOT_SENT
-            await soon(world.hosts[0].closed.get())
-            assert world.hosts[0].commands.empty()
+            await with_timeout(setup.hosts[0].closed.get())
+            assert setup.hosts[0].commands.empty()
 
     run(main())
 
 
 def test_a_cancelled_attempt_closes_its_connection_and_is_reported_once() -> None:
     async def main() -> None:
-        async with World(lambda words: None) as world:
-            log, attempt = EventLog(world), add_attempt(world)
-            world.parts.pools.start(attempt)
-            await soon(world.hosts[0].commands.get())
-            node = world.parts.node
+        async with GatewaySetup(lambda words: None) as setup:
+            log, attempt = EventLog(setup), add_attempt(setup)
+            setup.parts.pools.start(attempt)
+            await with_timeout(setup.hosts[0].commands.get())
+            node = setup.parts.node
             for _ in range(2):
                 node._cancel(it.Cancel(attempt.request.number, 0), node.clock.now())
-            await soon(world.hosts[0].closed.get())
+            await with_timeout(setup.hosts[0].closed.get())
             assert (await log.next_end()).outcome is it.Outcome.CANCELLED
             assert log.events.empty()
 
@@ -279,7 +291,7 @@
         return True  # keeps this side open
 
     def data_received(self, data: bytes) -> None:
-        answer = served() if self.asked else self.first_answer
+        answer = success_answer() if self.asked else self.first_answer
         self.asked.append(self.transport.get_extra_info("socket"))
         if answer is not None:
             self.transport.write(answer)
@@ -307,8 +319,8 @@
     monkeypatch.setattr(host_connection.HostConnection, "send_command", check_and_send)
 
     async def main() -> None:
-        async with World(lambda words: served(), lambda words: served()) as world:
-            loop, node, pools = asyncio.get_running_loop(), world.parts.node, world.parts.pools.pools
+        async with GatewaySetup(lambda words: success_answer(), lambda words: success_answer()) as setup:
+            loop, node, pools = asyncio.get_running_loop(), setup.parts.node, setup.parts.pools.pools
             servers = []
             for pool in pools.values():
                 servers.append(
@@ -318,13 +330,13 @@
                 pool._open_connection()  # an idle connection to each, so that no connect is needed later
             while not all(pool.idle for pool in pools.values()):
                 await asyncio.sleep(0)
-            client = await world.client()
-            client.ask(b"1")
+            client = await setup.client()
+            client.send_request(b"1")
             while not asked:
                 await asyncio.sleep(0)
             if how == "cancelled":
                 node._cancel(it.Cancel(max(node.requests), 0), node.clock.now())
-            assert await client.answer() == b"value"
+            assert await client.read_answer() == b"value"
             assert shut_down == [True, True]
             for server in servers:
                 server.close()
@@ -337,11 +349,11 @@
     """The window starts when the first attempt is sent; the repeat gets its connection after the window."""
 
     async def main() -> None:
-        classes = [one | {"window_ms": 1000, "group": "all"} for one in WIRE["classes"]]
-        async with World(
-            lambda words: b"-ERR failed\r\n", lambda words: b"-ERR failed\r\n", wire={"classes": classes}
-        ) as world:
-            node, pools, client = world.parts.node, world.parts.pools, await world.client()
+        classes = [one | {"window_ms": 1000, "group": "all"} for one in DEFAULT_SETTINGS["classes"]]
+        async with GatewaySetup(
+            lambda words: b"-ERR failed\r\n", lambda words: b"-ERR failed\r\n", settings={"classes": classes}
+        ) as setup:
+            node, pools, client = setup.parts.node, setup.parts.pools, await setup.client()
             start, held = pools.start, list[Attempt]()
 
             def hold(attempt: Attempt) -> None:
@@ -350,7 +362,7 @@
                     start(attempt)
 
             pools.start = hold  # type: ignore[method-assign]
-            client.ask(b"1", b"send", extra=b"k=77,", body=b"x")
+            client.send_request(b"1", b"send", extra_fields=b"k=77,", body=b"x")
             while len(held) < 2:
                 await asyncio.sleep(0)
             pools.start = start  # type: ignore[method-assign]
@@ -359,8 +371,8 @@
                 node.clock.now = lambda: now() + 1000.0  # type: ignore[method-assign]
             start(held[1])
             # All hosts know its key, but only for the window: after that a repeat would run a second time.
-            assert await client.answer() == ("-ERR failed" if late else "-BUSY")
-            written = sum(host.commands.qsize() for host in world.hosts)
+            assert await client.read_answer() == ("-ERR failed" if late else "-BUSY")
+            written = sum(host.commands.qsize() for host in setup.hosts)
             assert written == 1 if late else written > 1
 
     run(main())
@@ -370,25 +382,25 @@
     """The answer is in the system's buffers when the timer fires, and the event loop has not read it yet."""
 
     async def main() -> None:
-        async with World(lambda words: None) as world:
-            log, node = EventLog(world), world.parts.node
-            attempt = add_attempt(world)
-            world.parts.pools.start(attempt)
-            await soon(world.hosts[0].commands.get())
-            peer, connection = _peer_of(world), attempt.connection
+        async with GatewaySetup(lambda words: None) as setup:
+            log, node = EventLog(setup), setup.parts.node
+            attempt = add_attempt(setup)
+            setup.parts.pools.start(attempt)
+            await with_timeout(setup.hosts[0].commands.get())
+            peer, connection = _peer_of(setup), attempt.connection
             raw = socket.socket(fileno=socket.dup(peer.get_extra_info("socket").fileno()))
-            raw.send(served())
+            raw.send(success_answer())
             raw.close()
             node._time_out(attempt)  # before the event loop runs
             node._time_out(attempt)
             node.end_attempt(attempt, it.Outcome.OK, b"value")
             assert (await log.next_end()).outcome is it.Outcome.TIMEOUT
-            await soon(world.hosts[0].closed.get())
+            await with_timeout(setup.hosts[0].closed.get())
             assert isinstance(connection, host_connection.HostConnection) and connection.closed
             assert (
                 attempt.request.open_attempts == 0
                 and log.events.empty()
-                and not world.parts.pools.open_connections
+                and not setup.parts.pools.open_connections
             )
 
     run(main())
@@ -396,17 +408,17 @@
 
 def test_a_connect_that_completes_at_its_time_limit_leaves_no_connection_open() -> None:
     async def main() -> None:
-        async with World(lambda words: served()) as world:
-            log, pools = EventLog(world), world.parts.pools
-            pools.start(add_attempt(world))
+        async with GatewaySetup(lambda words: success_answer()) as setup:
+            log, pools = EventLog(setup), setup.parts.pools
+            pools.start(add_attempt(setup))
             while not pools.connecting:
                 await asyncio.sleep(0)
             await asyncio.sleep(0)  # the connect is under way
             time.sleep(0.3)  # when the event loop runs again, the connect is complete and its time is over
             outcome = (await log.next_end()).outcome
             if outcome is it.Outcome.UNREACHABLE:
-                await soon(world.hosts[0].closed.get())
-                assert world.hosts[0].commands.empty() and not pools.open_connections
+                await with_timeout(setup.hosts[0].closed.get())
+                assert setup.hosts[0].commands.empty() and not pools.open_connections
             assert not pools.connecting and pools.open_connections == len(pools.pools[1].connections)
 
     run(main())
@@ -414,15 +426,15 @@
 
 def test_a_keyed_repeat_keeps_its_key_and_its_zone() -> None:
     async def main() -> None:
-        handler = _answer_first_by_id({b"1": Peer.RESET}, served())
+        handler = _answer_first_by_id({b"1": RespServer.RESET}, success_answer())
         sites = ("east", "east", "west", "west", "west", "west")
-        async with World(*[handler] * 6, sites=sites) as world:
-            client = await world.client()
-            client.ask(b"1", b"send", extra=b"k=5c0f,", body=b"x")
-            assert await client.answer() == b"value"
+        async with GatewaySetup(*[handler] * 6, sites=sites) as setup:
+            client = await setup.client()
+            client.send_request(b"1", b"send", extra_fields=b"k=5c0f,", body=b"x")
+            assert await client.read_answer() == b"value"
             got = [
                 (site, host.commands.get_nowait())
-                for site, host in zip(sites, world.hosts, strict=True)
+                for site, host in zip(sites, setup.hosts, strict=True)
                 if not host.commands.empty()
             ]
             assert len(got) == 2 and got[0][0] == got[1][0]
@@ -442,40 +454,40 @@
         async def handler(words: list[bytes]) -> bytes:
             if words[2] == b"slow":
                 await release.wait()
-            return served(words[2])
+            return success_answer(words[2])
 
-        async with World(handler) as world:
-            slow, client = await world.client(), await world.client()
-            slow.ask(b"slow")
-            await soon(world.hosts[0].commands.get())
+        async with GatewaySetup(handler) as setup:
+            slow, client = await setup.client(), await setup.client()
+            slow.send_request(b"slow")
+            await with_timeout(setup.hosts[0].commands.get())
             for number in (b"1", b"2"):
-                client.ask(number)
-                assert await client.answer() == number
+                client.send_request(number)
+                assert await client.read_answer() == number
             release.set()
-            assert await slow.answer() == b"slow"
-            assert world.hosts[0].connected.qsize() == 2
+            assert await slow.read_answer() == b"slow"
+            assert setup.hosts[0].connected.qsize() == 2
 
     run(main())
 
 
 def test_the_gateway_closes_an_idle_connection_at_its_idle_limit() -> None:
     async def main() -> None:
-        async with World(lambda words: served()) as world:
-            world.parts.pools.idle_limit_ms = 30
-            client = await world.client()
-            client.ask(b"1")
-            assert await client.answer() == b"value"
-            await soon(world.hosts[0].closed.get())
-            assert not world.parts.pools.open_connections
-            client.ask(b"2")
-            assert await client.answer() == b"value"
+        async with GatewaySetup(lambda words: success_answer()) as setup:
+            setup.parts.pools.idle_limit_ms = 30
+            client = await setup.client()
+            client.send_request(b"1")
+            assert await client.read_answer() == b"value"
+            await with_timeout(setup.hosts[0].closed.get())
+            assert not setup.parts.pools.open_connections
+            client.send_request(b"2")
+            assert await client.read_answer() == b"value"
 
     run(main())
 
 
-def _peer_of(world: World) -> Any:
+def _peer_of(setup: GatewaySetup) -> Any:
     """Return the transport at the host's side of the only connection to the first host."""
-    return world.hosts[0].connected.get_nowait().transport
+    return setup.hosts[0].connected.get_nowait().transport
 
 
 @pytest.mark.parametrize("how", ["bytes", "end", "age"])
@@ -483,26 +495,26 @@
     """The input is in the system's buffers, and the event loop has not read it when the request starts."""
 
     async def main() -> None:
-        async with World(lambda words: served()) as world:
-            log, pools = EventLog(world), world.parts.pools
+        async with GatewaySetup(lambda words: success_answer()) as setup:
+            log, pools = EventLog(setup), setup.parts.pools
             pool = pools.pools[1]
-            pools.start(add_attempt(world))
+            pools.start(add_attempt(setup))
             assert (await log.next_end()).outcome is it.Outcome.OK
             pool.idle[0].idle_since -= host_pools.REUSE_DELAY_MS
-            await soon(world.hosts[0].commands.get())
-            old, peer = pool.idle[0], _peer_of(world)
+            await with_timeout(setup.hosts[0].commands.get())
+            old, peer = pool.idle[0], _peer_of(setup)
             raw = socket.socket(fileno=socket.dup(peer.get_extra_info("socket").fileno()))
             if how == "bytes":
-                raw.send(served(b"another's"))
+                raw.send(success_answer(b"another's"))
             elif how == "end":
                 raw.shutdown(socket.SHUT_WR)
             else:
                 old.idle_since -= pools.idle_limit_ms + 1.0
             raw.close()
-            pools.start(add_attempt(world))  # before the event loop runs
+            pools.start(add_attempt(setup))  # before the event loop runs
             assert old.closed
             assert (await log.next_end()).outcome is it.Outcome.OK
-            assert world.hosts[0].connected.qsize() == 1  # a new connection
+            assert setup.hosts[0].connected.qsize() == 1  # a new connection
 
     run(main())
 
@@ -517,20 +529,20 @@
 
         def handle(words: list[bytes]) -> bytes:
             if words[2] == b"2":  # a second answer to request 1, before the answer to this one
-                peers[0].write(served(b"answer to 1"))
-            return served(b"answer to " + words[2])
-
-        async with World(handle) as world:
-            client = await world.client()
-            client.ask(b"1")
-            assert await client.answer() == b"answer to 1"
-            peers.append(_peer_of(world))
-            (old,) = world.parts.pools.pools[1].connections
-            client.ask(b"2")
-            assert await client.answer() == b"answer to 2"
+                peers[0].write(success_answer(b"answer to 1"))
+            return success_answer(b"answer to " + words[2])
+
+        async with GatewaySetup(handle) as setup:
+            client = await setup.client()
+            client.send_request(b"1")
+            assert await client.read_answer() == b"answer to 1"
+            peers.append(_peer_of(setup))
+            (old,) = setup.parts.pools.pools[1].connections
+            client.send_request(b"2")
+            assert await client.read_answer() == b"answer to 2"
             while not old.closed:
                 await asyncio.sleep(0)
-            assert old not in world.parts.pools.pools[1].connections
+            assert old not in setup.parts.pools.pools[1].connections
 
     run(main())
 
@@ -539,12 +551,12 @@
     """A host at its connection limit refuses another connection; that doesn't make it unreachable."""
 
     async def main() -> None:
-        async with World(lambda words: served()) as world:
-            log, pools = EventLog(world), world.parts.pools
-            pools.start(add_attempt(world))
+        async with GatewaySetup(lambda words: success_answer()) as setup:
+            log, pools = EventLog(setup), setup.parts.pools
+            pools.start(add_attempt(setup))
             assert (await log.next_end()).outcome is it.Outcome.OK
-            world.hosts[0].server.close()
-            pools.start(add_attempt(world))
+            setup.hosts[0].server.close()
+            pools.start(add_attempt(setup))
             assert pools.connecting == 1 and len(pools.pools[1].idle) == 1
             assert (await log.next_end()).outcome is it.Outcome.OK and len(pools.pools[1].connections) == 1
 
@@ -553,25 +565,25 @@
 
 def test_idle_connections_to_a_host_that_stopped_answering_are_not_reused() -> None:
     async def main() -> None:
-        async with World(lambda words: served() if words[2] == b"1" else None) as world:
+        async with GatewaySetup(lambda words: success_answer() if words[2] == b"1" else None) as setup:
             log, pools, attempts = (
-                EventLog(world),
-                world.parts.pools,
-                [add_attempt(world), add_attempt(world)],
+                EventLog(setup),
+                setup.parts.pools,
+                [add_attempt(setup), add_attempt(setup)],
             )
             for attempt in attempts:
                 pools.start(attempt)
             for _ in attempts:
                 assert (await log.next_end()).outcome is it.Outcome.OK
-            silent = add_attempt(world)
+            silent = add_attempt(setup)
             silent.request.arguments[2] = b"silent"
             pools.start(silent)
-            while (await soon(world.hosts[0].commands.get()))[2] != b"silent":
+            while (await with_timeout(setup.hosts[0].commands.get()))[2] != b"silent":
                 pass
-            world.parts.node._time_out(silent)
+            setup.parts.node._time_out(silent)
             assert (await log.next_end()).outcome is it.Outcome.TIMEOUT
             for _ in attempts:
-                await soon(world.hosts[0].closed.get())
+                await with_timeout(setup.hosts[0].closed.get())
             assert not pools.open_connections
 
     run(main())
@@ -579,17 +591,17 @@
 
 def test_a_host_with_a_new_address_or_start_time_gets_new_connections() -> None:
     async def main() -> None:
-        async with World(lambda words: served(), lambda words: served()) as world:
-            log, pools = EventLog(world), world.parts.pools
-            old, new = world.hosts
-            pools.start(add_attempt(world))
+        async with GatewaySetup(lambda words: success_answer(), lambda words: success_answer()) as setup:
+            log, pools = EventLog(setup), setup.parts.pools
+            old, new = setup.hosts
+            pools.start(add_attempt(setup))
             await asyncio.sleep(0)  # one turn of the event loop: the connect is under way
             pools.update_host(1, new.address, it.HostState.READY, 0.0)
             assert (await log.next_end()).outcome is it.Outcome.OK
             assert old.commands.empty() and new.commands.qsize() == 1
             pools.update_host(1, new.address, it.HostState.READY, 7.0)
-            await soon(new.closed.get())
-            pools.start(add_attempt(world))
+            await with_timeout(new.closed.get())
+            pools.start(add_attempt(setup))
             assert (await log.next_end()).outcome is it.Outcome.OK
 
     run(main())
@@ -597,10 +609,10 @@
 
 def test_an_error_word_that_only_begins_with_busy_may_have_run() -> None:
     async def main() -> None:
-        async with World(lambda words: b"-BUSYKEY in use\r\n") as world:
-            client = await world.client()
-            client.ask(b"1", b"pay", body=b"x")
-            assert await client.answer() == "-ERR failed"
+        async with GatewaySetup(lambda words: b"-BUSYKEY in use\r\n") as setup:
+            client = await setup.client()
+            client.send_request(b"1", b"pay", body=b"x")
+            assert await client.read_answer() == "-ERR failed"
 
     run(main())
 
@@ -622,11 +634,11 @@
             b"-" + b"x" * 300,
             b"*3\r\n+value\r\n$-1\r\n$-1\r\n",
         ):
-            handler = _answer_first_by_id({b"1": malformed}, served())
-            async with World(handler, handler) as world:
-                log, client = EventLog(world), await world.client()
-                client.ask(b"1")
-                assert await client.answer() == b"value", malformed[:20]
+            handler = _answer_first_by_id({b"1": malformed}, success_answer())
+            async with GatewaySetup(handler, handler) as setup:
+                log, client = EventLog(setup), await setup.client()
+                client.send_request(b"1")
+                assert await client.read_answer() == b"value", malformed[:20]
                 assert (await log.next_end()).outcome is it.Outcome.ERROR  # RESET would make the host suspect
 
     run(main())
@@ -637,11 +649,11 @@
 
     async def main() -> None:
         for incomplete in (b"*3\r\n$60000\r\nxx", b"-", b"*"):
-            handler = _answer_first_by_id({b"1": incomplete}, served())
-            async with World(handler, handler) as world:
-                log, client = EventLog(world), await world.client()
-                client.ask(b"1")
-                assert await client.answer() == b"value"
+            handler = _answer_first_by_id({b"1": incomplete}, success_answer())
+            async with GatewaySetup(handler, handler) as setup:
+                log, client = EventLog(setup), await setup.client()
+                client.send_request(b"1")
+                assert await client.read_answer() == b"value"
                 assert (await log.next_end()).outcome is it.Outcome.ERROR
 
     run(main())
@@ -649,16 +661,16 @@
 
 def test_a_valid_answer_followed_by_other_bytes_is_served_and_its_connection_closed() -> None:
     async def main() -> None:
-        for extra in (served(b"other"), b"noise", b"\r\n"):
-            handler = _answer_first_by_id({b"1": served(b"first") + extra}, served())
-            async with World(handler) as world:
-                log, client = EventLog(world), await world.client()
-                client.ask(b"1")
-                assert await client.answer() == b"first"
+        for extra in (success_answer(b"other"), b"noise", b"\r\n"):
+            handler = _answer_first_by_id({b"1": success_answer(b"first") + extra}, success_answer())
+            async with GatewaySetup(handler) as setup:
+                log, client = EventLog(setup), await setup.client()
+                client.send_request(b"1")
+                assert await client.read_answer() == b"first"
                 assert (await log.next_end()).outcome is it.Outcome.OK
-                await soon(world.hosts[0].closed.get())
-                client.ask(b"2")
-                assert await client.answer() == b"value"
+                await with_timeout(setup.hosts[0].closed.get())
+                client.send_request(b"2")
+                assert await client.read_answer() == b"value"
 
     run(main())
 
@@ -672,11 +684,11 @@
             b"$3000000000\r\n",
             b"$4\r\nused\r\n:3\r\n",
         ):
-            handler = _answer_first_by_id({b"1": b"*3\r\n$5\r\nfirst\r\n" + fields}, served())
-            async with World(handler) as world:
-                client = await world.client()
-                client.ask(b"1")
-                assert await client.answer() == b"first", fields
+            handler = _answer_first_by_id({b"1": b"*3\r\n$5\r\nfirst\r\n" + fields}, success_answer())
+            async with GatewaySetup(handler) as setup:
+                client = await setup.client()
+                client.send_request(b"1")
+                assert await client.read_answer() == b"first", fields
 
     run(main())
 
@@ -684,45 +696,45 @@
 def test_a_value_that_arrives_in_pieces_is_served_whole() -> None:
     async def main() -> None:
         async def handler(words: list[bytes]) -> bytes | None:
-            writer = world.hosts[0].connected.get_nowait()
+            writer = setup.hosts[0].connected.get_nowait()
             for piece in (b"*3\r", b"\n$6", b"0000\r\n" + b"x" * 30000, b"y" * 30000 + b"\r\n$-1\r\n$-1\r\n"):
                 writer.write(piece)
                 await asyncio.sleep(0.001)
             return None
 
-        async with World(handler) as world:
-            client = await world.client()
-            client.ask(b"1")
-            assert await client.answer() == b"x" * 30000 + b"y" * 30000
+        async with GatewaySetup(handler) as setup:
+            client = await setup.client()
+            client.send_request(b"1")
+            assert await client.read_answer() == b"x" * 30000 + b"y" * 30000
 
     run(main())
 
 
 def test_a_host_that_is_gone_is_forgotten_once_its_last_attempt_has_ended() -> None:
     async def main() -> None:
-        async with World(held := Held()) as world:
+        async with GatewaySetup(held := BlockingHandler()) as setup:
             discovery, pools, module = (
-                world.parts.discovery,
-                world.parts.pools,
-                world.parts.node.decision_module,
+                setup.parts.discovery,
+                setup.parts.pools,
+                setup.parts.node.decision_module,
             )
-            client = await world.client()
-            client.ask(b"1")
-            await soon(world.hosts[0].commands.get())
-            new = entry("new", world.hosts[0].dial) | {"block": 7}  # at the removed host's address
+            client = await setup.client()
+            client.send_request(b"1")
+            await with_timeout(setup.hosts[0].commands.get())
+            new = host_entry("new", setup.hosts[0].dial) | {"block": 7}  # at the removed host's address
             discovery.apply({"seq": 2, "whole": True, "hosts": [new]})
             assert set(module.hosts) == {1, 2} and set(pools.pools) == {1, 2}
             held.released.set()
-            assert await client.answer() == b"value"
-            await soon(world.hosts[0].closed.get())
+            assert await client.read_answer() == b"value"
+            await with_timeout(setup.hosts[0].closed.get())
             assert set(module.hosts) == {2} and set(pools.pools) == {2}
             assert list(discovery.table.numbers) == list(discovery.table.fields) == ["new"]
             assert list(discovery.table.cells) == ["7"]
-            client.ask(b"2")
-            assert await client.answer() == b"value"
-            assert world.hosts[0].connected.qsize() == 2  # a separate connection
+            client.send_request(b"2")
+            assert await client.read_answer() == b"value"
+            assert setup.hosts[0].connected.qsize() == 2  # a separate connection
             discovery.apply({"seq": 3, "whole": False, "hosts": [new | {"health": "terminated"}]})
-            discovery.apply({"seq": 4, "whole": False, "hosts": [entry("newest", world.hosts[0].dial)]})
+            discovery.apply({"seq": 4, "whole": False, "hosts": [host_entry("newest", setup.hosts[0].dial)]})
             assert set(module.hosts) == set(pools.pools) == {3}  # host numbers are not reused
 
     run(main())
@@ -730,15 +742,15 @@
 
 def test_connections_stay_within_their_limit() -> None:
     async def main() -> None:
-        async with World(lambda words: served(), lambda words: None) as world:
-            log, pools = EventLog(world), world.parts.pools
+        async with GatewaySetup(lambda words: success_answer(), lambda words: None) as setup:
+            log, pools = EventLog(setup), setup.parts.pools
             pools.max_connections = 1
-            pools.start(add_attempt(world))
+            pools.start(add_attempt(setup))
             assert (await log.next_end()).outcome is it.Outcome.OK  # its connection is idle now
-            second, third = add_attempt(world), add_attempt(world)
+            second, third = add_attempt(setup), add_attempt(setup)
             second.host = third.host = 2
             pools.start(second)
-            await soon(world.hosts[0].closed.get())  # closed to make room
+            await with_timeout(setup.hosts[0].closed.get())  # closed to make room
             pools.start(third)
             assert (await log.next_end()).outcome is it.Outcome.NOT_SENT
 
--- a/tests/test_node_lists_at_scale.py
+++ b/tests/test_node_lists_at_scale.py
@@ -25,7 +25,7 @@
 from rainturn.node.requests import Attempt
 from tests.helpers import settings as module_settings
 from tests.sockets import Discovery as Agent
-from tests.sockets import World, entry, run, served, soon
+from tests.sockets import GatewaySetup, host_entry, run, success_answer, with_timeout
 from tests.test_node_hosts import EventLog, add_attempt
 
 SIZES = (200, 17_000)
@@ -52,15 +52,15 @@
             yield item
 
 
-def _attempt_at(world: World, host: int) -> Attempt:
-    attempt = add_attempt(world)
+def _attempt_at(setup: GatewaySetup, host: int) -> Attempt:
+    attempt = add_attempt(setup)
     attempt.host = host
     return attempt
 
 
-def _many_pools(world: World, count: int) -> HostPools:
-    """Return the pools of a world with one host, extended to `count` hosts at the same address."""
-    pools, address = world.parts.pools, world.parts.pools.pools[1].address
+def _many_pools(setup: GatewaySetup, count: int) -> HostPools:
+    """Return the pools of a gateway with one host, extended to `count` hosts at the same address."""
+    pools, address = setup.parts.pools, setup.parts.pools.pools[1].address
     for number in range(2, count + 1):
         pools.add(number, f"host-{number}")
         pools.update_host(number, address, it.HostState.READY, 0.0)
@@ -72,13 +72,13 @@
     size: int,
 ) -> None:
     async def main() -> None:
-        async with World(lambda words: None) as world:
-            log, pools = EventLog(world), _many_pools(world, size)
+        async with GatewaySetup(lambda words: None) as setup:
+            log, pools = EventLog(setup), _many_pools(setup, size)
             address = pools.pools[1].address
             pools.pools = counting_pools = CountingDict(pools.pools)
             leaving = [size, size - 3]
             for number in leaving:
-                pools.start(_attempt_at(world, number))  # its connection is being opened
+                pools.start(_attempt_at(setup, number))  # its connection is being opened
                 pools.update_host(number, address, it.HostState.DRAINING, 0.0)
             pools.update_host(7, address, it.HostState.GONE, 0.0)
             pools.return_waiting()
@@ -97,18 +97,18 @@
     size: int,
 ) -> None:
     async def main() -> None:
-        async with World(lambda words: served()) as world:
-            log, pools = EventLog(world), _many_pools(world, size)
+        async with GatewaySetup(lambda words: success_answer()) as setup:
+            log, pools = EventLog(setup), _many_pools(setup, size)
             pools.pools = counting_pools = CountingDict(pools.pools)
             used = [size, 5, size - 1, 9]
             for number in used:
-                pools.start(_attempt_at(world, number))
+                pools.start(_attempt_at(setup, number))
                 assert (await log.next_end()).outcome is it.Outcome.OK
             assert [connection.pool.number for connection in pools.idle] == used  # type: ignore[attr-defined]
             pools.max_connections = len(used)
             for closed, number in zip(used, (20, 21, 22, 23), strict=True):
                 assert pools.pools[closed].connections
-                pools.start(_attempt_at(world, number))
+                pools.start(_attempt_at(setup, number))
                 assert not pools.pools[closed].connections
                 assert (await log.next_end()).outcome is it.Outcome.OK
             assert not counting_pools.visit_count
@@ -121,15 +121,15 @@
 @pytest.mark.parametrize("size", SIZES)
 def test_a_pool_allocates_no_containers_before_its_first_attempt(size: int) -> None:
     async def main() -> None:
-        async with World(lambda words: served()) as world:
-            log, pools = EventLog(world), _many_pools(world, size)
-            pools.start(_attempt_at(world, 7))
+        async with GatewaySetup(lambda words: success_answer()) as setup:
+            log, pools = EventLog(setup), _many_pools(setup, size)
+            pools.start(_attempt_at(setup, 7))
             assert (await log.next_end()).outcome is it.Outcome.OK
             used = [number for number, pool in pools.pools.items() if isinstance(pool.connections, set)]
             assert used == [7]
             pools.update_host(7, ("127.0.0.1", 2), it.HostState.READY, 1.0)  # closes the idle connections
             assert not pools.idle and not pools.open_connections
-            await soon(world.hosts[0].closed.get())
+            await with_timeout(setup.hosts[0].closed.get())
 
     run(main())
 
@@ -138,21 +138,25 @@
     """The module sent it in the same turn of the event loop, before it received the list."""
 
     async def main() -> None:
-        async with World(lambda words: served()) as world:
-            log, pools = EventLog(world), _many_pools(world, 3)
+        async with GatewaySetup(lambda words: success_answer()) as setup:
+            log, pools = EventLog(setup), _many_pools(setup, 3)
             pools.update_host(2, pools.pools[2].address, it.HostState.DRAINING, 0.0)
-            pools.start(_attempt_at(world, 2))
+            pools.start(_attempt_at(setup, 2))
             pools.return_waiting()
             assert (await log.next_end()).outcome is it.Outcome.NOT_SENT
             await asyncio.sleep(0)
-            assert world.hosts[0].commands.empty()
+            assert setup.hosts[0].commands.empty()
 
     run(main())
 
 
 def _host(number: int, **change: Any) -> dict[str, Any]:
     dial = f"10.{number >> 16}.{number >> 8 & 255}.{number & 255}:6379"
-    return entry(f"host-{number}", dial, "west" if number % 2 else "east") | {"block": number // 40} | change
+    return (
+        host_entry(f"host-{number}", dial, "west" if number % 2 else "east")
+        | {"block": number // 40}
+        | change
+    )
 
 
 def _hosts(count: int, **change: Any) -> list[dict[str, Any]]:
@@ -301,28 +305,28 @@
 
 def test_requests_are_answered_while_a_list_is_applied() -> None:
     async def main() -> None:
-        async with World(lambda words: served()) as world:
-            discovery, client = world.parts.discovery, await world.client()
-            hosts = [entry("h0", world.hosts[0].dial), *_hosts(17_000, health="terminating")]
+        async with GatewaySetup(lambda words: success_answer()) as setup:
+            discovery, client = setup.parts.discovery, await setup.client()
+            hosts = [host_entry("h0", setup.hosts[0].dial), *_hosts(17_000, health="terminating")]
             discovery.apply(_list(2, hosts))
-            client.ask(b"0")
-            assert await client.answer() == b"value"
+            client.send_request(b"0")
+            assert await client.read_answer() == b"value"
             apply_task = asyncio.create_task(
                 discovery.apply_without_blocking(_list(3, [*hosts, _host(20_000, health="terminating")]))
             )
-            client.ask(b"1")
-            assert await client.answer() == b"value"
+            client.send_request(b"1")
+            assert await client.read_answer() == b"value"
             assert not apply_task.done() and discovery.seq == 2
-            await soon(apply_task)
-            assert discovery.seq == 3 and world.parts.node.decision_module.listed_count() == 17_002
+            await with_timeout(apply_task)
+            assert discovery.seq == 3 and setup.parts.node.decision_module.listed_count() == 17_002
 
     run(main())
 
 
 def test_a_gateway_is_not_ready_before_the_first_list_after_a_handover_is_applied_completely() -> None:
     async def main() -> None:
-        async with World(lambda words: served()) as world:
-            node, discovery = world.parts.node, world.parts.discovery
+        async with GatewaySetup(lambda words: success_answer()) as setup:
+            node, discovery = setup.parts.node, setup.parts.discovery
             discovery.apply(_list(2, _hosts(300)), cached=True)
             node.decision_module.ready_after = math.inf  # as after a handover
             apply_task = asyncio.create_task(discovery.apply_without_blocking(_list(3, _hosts(600))))
@@ -357,8 +361,8 @@
         assert discovery.seq is None  # it changes only when the list is applied completely
         discovery.move(agents[1].address)
         agents[1].put(_list(3, [_host(n) for n in range(3000, 5000)]))
-        assert await soon(agents[1].calls.get()) == "/discovery/hosts"
-        assert "index=3&" in await soon(agents[1].calls.get())
+        assert await with_timeout(agents[1].calls.get()) == "/discovery/hosts"
+        assert "index=3&" in await with_timeout(agents[1].calls.get())
         # The first list is applied completely before the second one begins.
         assert harness.states() == [GONE] * 500 + [READY] * 2000 + [GONE] * 1500 + [READY] * 1000
         assert set(discovery.table.numbers) == {f"host-{n}" for n in range(3000, 5000)}
@@ -381,14 +385,14 @@
         while not harness.events:
             await asyncio.sleep(0)
         second = asyncio.create_task(harness.discovery.apply_without_blocking(_list(3, [_host(5)], False)))
-        await soon(asyncio.gather(first, second))
+        await with_timeout(asyncio.gather(first, second))
         assert harness.states() == [DRAINING] * 1000 + [READY] and harness.discovery.seq == 3
         third = asyncio.create_task(harness.discovery.apply_without_blocking(_list(4, _hosts(1000))))
         while len(harness.events) < 45:
             await asyncio.sleep(0)
         harness.discovery.apply(_list(5, [_host(6, health="terminated")], False))
         assert harness.states()[1001:] == [READY] * 999 + [GONE] and harness.discovery.seq == 5
-        await soon(third)
+        await with_timeout(third)
 
     run(main())
 
@@ -484,7 +488,7 @@
         harness.events.clear()
         discovery.address = agent.address
         discovery.start()
-        await soon(agent.calls.get())
+        await with_timeout(agent.calls.get())
         answer = json.dumps(_list(4 if bad == "older" else 6, _hosts(1000))).encode()
         if bad == "cut":
             answer = answer[:-9]
@@ -493,12 +497,12 @@
         elif bad == "no list":
             answer = b"[%s]" % answer
         agent.put(answer)
-        await soon(agent.calls.get())
+        await with_timeout(agent.calls.get())
         assert not harness.events and discovery.seq == 5 and len(harness.pools.pools) == 2000
         assert len(caplog.records) == 1
         monkeypatch.undo()
         agent.put(_list(7, [_host(1, health="terminating")], False))
-        await soon(agent.calls.get())
+        await with_timeout(agent.calls.get())
         assert harness.states() == [DRAINING] and discovery.seq == 7
         await discovery.stop()
         agent.server.close()
--- a/tests/test_node_program.py
+++ b/tests/test_node_program.py
@@ -20,8 +20,19 @@
 from rainturn.node.resp import pack
 from rainturn.node.shutdown import answer_within_s, shut_down
 from rainturn.settings import settings_from
-from tests.program import config_file, log_line, started
-from tests.sockets import WIRE, Client, Discovery, Peer, Totals, World, entry, run, served, soon
+from tests.program import next_log_line, start_program, write_config
+from tests.sockets import (
+    DEFAULT_SETTINGS,
+    Client,
+    CounterHandler,
+    Discovery,
+    GatewaySetup,
+    RespServer,
+    host_entry,
+    run,
+    success_answer,
+    with_timeout,
+)
 
 
 @pytest.mark.parametrize(
@@ -33,7 +44,7 @@
         {"listen": "127.0.0.1:99999"},
         {"seed": "x"},
         {"counter": 7},
-        {"settings": WIRE | {"localities": [1]}},
+        {"settings": DEFAULT_SETTINGS | {"localities": [1]}},
         {"limits": {"sockets": "many"}},
         "text",
         "taken",
@@ -42,7 +53,7 @@
 def test_unusable_configuration_gives_one_error_line_and_exit_code(tmp_path: Path, change: Any) -> None:
     with socket.create_server(("127.0.0.1", 0)) as taken:
         listen = f"127.0.0.1:{taken.getsockname()[1]}"
-        path = config_file(tmp_path, **({"listen": listen} | (change if isinstance(change, dict) else {})))
+        path = write_config(tmp_path, **({"listen": listen} | (change if isinstance(change, dict) else {})))
         if change == "text":
             Path(path).write_text("no JSON")
         done = subprocess.run(
@@ -63,11 +74,13 @@
             if words[2] == b"silent":
                 return None
             await release.wait()
-            return served()
+            return success_answer()
 
-        host, counter = await Peer(handler).start(), await Peer(Totals()).start()
-        path = config_file(
-            tmp_path, counter=counter.dial, known={"seq": 1, "whole": True, "hosts": [entry("h", host.dial)]}
+        host, counter = await RespServer(handler).start(), await RespServer(CounterHandler()).start()
+        path = write_config(
+            tmp_path,
+            counter=counter.dial,
+            known={"seq": 1, "whole": True, "hosts": [host_entry("h", host.dial)]},
         )
         process = await asyncio.create_subprocess_exec(
             sys.executable,
@@ -77,34 +90,34 @@
             env=os.environ | {"EDGE_CONFIG": path},
         )
         assert process.stderr is not None
-        while b"listening" not in (line := await soon(process.stderr.readline())):
+        while b"listening" not in (line := await with_timeout(process.stderr.readline())):
             assert line, "it ended"
         address = parse_address(line.decode().split()[-1])
         hostile = await Client.connect(address)
         hostile.writer.write(b"*2000000000\r\n")  # a list of this length would take 16 GB
-        assert str(await hostile.answer()).startswith("-ERR")
+        assert str(await hostile.read_answer()).startswith("-ERR")
         hostile.writer.close()
         idle, client, silent = [await Client.connect(address) for _ in range(3)]
-        client.ask(b"1")
-        await soon(host.commands.get())
-        silent.ask(b"silent", b"pay", wait=5000, body=b"x")
-        await soon(host.commands.get())
+        client.send_request(b"1")
+        await with_timeout(host.commands.get())
+        silent.send_request(b"silent", b"pay", time_limit_ms=5000, body=b"x")
+        await with_timeout(host.commands.get())
         loop = asyncio.get_running_loop()
         sigterm_at = loop.time()
         process.send_signal(signal.SIGTERM)
-        while b"stopping" not in await soon(process.stderr.readline()):
+        while b"stopping" not in await with_timeout(process.stderr.readline()):
             pass
         late = await Client.connect(address)  # still accepted
-        late.ask(b"2")
-        await soon(host.commands.get())
-        assert await soon(idle.reader.read()) == b""
+        late.send_request(b"2")
+        await with_timeout(host.commands.get())
+        assert await with_timeout(idle.reader.read()) == b""
         release.set()
-        assert await client.answer() == b"value"
-        assert await late.answer() == b"value"
+        assert await client.read_answer() == b"value"
+        assert await late.read_answer() == b"value"
         for done in (client, late):
-            assert await soon(done.reader.read()) == b""
-        assert await silent.answer() == "-ERR failed"  # it may have run, so it can't be refused
-        assert await soon(process.wait()) == 0
+            assert await with_timeout(done.reader.read()) == b""
+        assert await silent.read_answer() == "-ERR failed"  # it may have run, so it can't be refused
+        assert await with_timeout(process.wait()) == 0
         assert loop.time() - sigterm_at < 3.7
         for peer in (host, counter):
             peer.server.close()
@@ -117,22 +130,28 @@
     longest_ms: float, killed_s: float
 ) -> None:
     """SIGKILL comes 0.7 s after the longest deadline, which counts as 3 s at the most."""
-    classes = [one | {"hard_limit_ms": longest_ms / (n + 1)} for n, one in enumerate(WIRE["classes"])]
-    assert killed_s - 0.6 < answer_within_s(settings_from(WIRE | {"classes": classes})) < killed_s - 0.3
+    classes = [
+        one | {"hard_limit_ms": longest_ms / (n + 1)} for n, one in enumerate(DEFAULT_SETTINGS["classes"])
+    ]
+    assert (
+        killed_s - 0.6
+        < answer_within_s(settings_from(DEFAULT_SETTINGS | {"classes": classes}))
+        < killed_s - 0.3
+    )
 
 
 def test_late_request_after_sigterm_is_answered_before_sigkill_with_short_deadlines() -> None:
     async def main() -> None:
-        classes = [one | {"hard_limit_ms": 1500} for one in WIRE["classes"]]
-        async with World(lambda words: None, wire={"classes": classes}) as world:
-            client, loop = await world.client(), asyncio.get_running_loop()
-            client.ask(b"1", b"pay", body=b"x")  # keeps the connection open: its host hangs
-            await soon(world.hosts[0].commands.get())
+        classes = [one | {"hard_limit_ms": 1500} for one in DEFAULT_SETTINGS["classes"]]
+        async with GatewaySetup(lambda words: None, settings={"classes": classes}) as setup:
+            client, loop = await setup.client(), asyncio.get_running_loop()
+            client.send_request(b"1", b"pay", body=b"x")  # keeps the connection open: its host hangs
+            await with_timeout(setup.hosts[0].commands.get())
             sigterm_at = loop.time()
-            shutdown = asyncio.create_task(shut_down(world.parts, False))
+            shutdown = asyncio.create_task(shut_down(setup.parts, False))
             await asyncio.sleep(1.3)
-            client.ask(b"2", b"pay", body=b"x")  # its deadline is 2.8 s after SIGTERM
-            assert await client.answer() == await client.answer() == "-ERR failed"
+            client.send_request(b"2", b"pay", body=b"x")  # its deadline is 2.8 s after SIGTERM
+            assert await client.read_answer() == await client.read_answer() == "-ERR failed"
             assert loop.time() - sigterm_at < 1.5 + 0.7
             await shutdown
 
@@ -141,17 +160,17 @@
 
 def test_queued_connections_are_accepted_before_listener_closes() -> None:
     async def main() -> None:
-        async with World(lambda words: served()) as world:
+        async with GatewaySetup(lambda words: success_answer()) as setup:
             waiting = []
             for _ in range(3 * ACCEPT_BATCH):  # without a turn of the loop between them
-                sock = socket.create_connection(world.address)
+                sock = socket.create_connection(setup.address)
                 sock.send(pack([b"PING"]))
                 waiting.append(sock)
-            world.parts.clients.budget = len(waiting)
-            await world.parts.clients.stop(True)
+            setup.parts.clients.budget = len(waiting)
+            await setup.parts.clients.stop(True)
             for sock in waiting:
                 client = Client(*await asyncio.open_connection(sock=sock))
-                assert await client.answer() == b"PONG"
+                assert await client.read_answer() == b"PONG"
                 client.writer.close()
 
     run(main())
@@ -165,30 +184,32 @@
             if words[2] == b"hangs":
                 return None
             await release.wait()
-            return served()
+            return success_answer()
 
-        host, counter = await Peer(handler).start(), await Peer(Totals()).start()
-        path = config_file(
-            tmp_path, counter=counter.dial, known={"seq": 1, "whole": True, "hosts": [entry("h", host.dial)]}
+        host, counter = await RespServer(handler).start(), await RespServer(CounterHandler()).start()
+        path = write_config(
+            tmp_path,
+            counter=counter.dial,
+            known={"seq": 1, "whole": True, "hosts": [host_entry("h", host.dial)]},
         )
-        process, address = await started(path)
+        process, address = await start_program(path)
         client, hanging = [await Client.connect(address) for _ in range(2)]
-        client.ask(b"1")
-        hanging.ask(b"hangs", b"pay", wait=1500, body=b"x")
+        client.send_request(b"1")
+        hanging.send_request(b"hangs", b"pay", time_limit_ms=1500, body=b"x")
         for _ in range(2):
-            await soon(host.commands.get())
+            await with_timeout(host.commands.get())
         process.send_signal(signal.SIGTERM)
         process.send_signal(signal.SIGHUP)
-        await log_line(process, b"stopping")
+        await next_log_line(process, b"stopping")
         process.send_signal(signal.SIGHUP)
-        await log_line(process, b"configuration read")
+        await next_log_line(process, b"configuration read")
         process.send_signal(signal.SIGTERM)
-        client.ask(b"2")  # its connection is still open
-        await soon(host.commands.get())
+        client.send_request(b"2")  # its connection is still open
+        await with_timeout(host.commands.get())
         release.set()
-        assert [await client.answer() for _ in range(2)] == [b"value"] * 2
-        assert await hanging.answer() == "-ERR failed"
-        assert await soon(process.wait()) == 0
+        assert [await client.read_answer() for _ in range(2)] == [b"value"] * 2
+        assert await hanging.read_answer() == "-ERR failed"
+        assert await with_timeout(process.wait()) == 0
         for peer in (host, counter):
             peer.server.close()
 
@@ -197,7 +218,7 @@
 
 def test_sigterm_during_start_ends_process_without_traceback(tmp_path: Path) -> None:
     async def main() -> None:
-        path = config_file(tmp_path)
+        path = write_config(tmp_path)
         for awaited_line in (b"", b"control", b"listening"):
             process = await asyncio.create_subprocess_exec(
                 sys.executable,
@@ -207,10 +228,12 @@
                 env=os.environ | {"EDGE_CONFIG": path, "EDGE_CONTROL": "127.0.0.1:0"},
             )
             if awaited_line:
-                await log_line(process, awaited_line)
+                await next_log_line(process, awaited_line)
             process.send_signal(signal.SIGTERM)
-            rest = await soon(process.stderr.read()) if process.stderr is not None else b""
-            assert await soon(process.wait()) in (0, -signal.SIGTERM) and b"Traceback" not in rest, rest
+            rest = await with_timeout(process.stderr.read()) if process.stderr is not None else b""
+            assert (
+                await with_timeout(process.wait()) in (0, -signal.SIGTERM) and b"Traceback" not in rest
+            ), rest
 
     run(main())
 
@@ -223,51 +246,54 @@
 
         async def slow(words: list[bytes]) -> bytes:
             await release.wait()
-            return served(b"old")
+            return success_answer(b"old")
 
-        old, new = await Peer(slow).start(), await Peer(lambda words: served(b"new")).start()
-        counters = [await Peer(Totals()).start() for _ in range(2)]
+        old, new = (
+            await RespServer(slow).start(),
+            await RespServer(lambda words: success_answer(b"new")).start(),
+        )
+        counters = [await RespServer(CounterHandler()).start() for _ in range(2)]
         discoveries = [await Discovery().start() for _ in range(2)]
         dials = [f"{host}:{port}" for host, port in (discovery.address for discovery in discoveries)]
         changes: dict[str, Any] = {
             "discovery": dials[0],
             "counter": counters[0].dial,
-            "known": {"seq": 1, "whole": True, "hosts": [entry("h", old.dial)]},
+            "known": {"seq": 1, "whole": True, "hosts": [host_entry("h", old.dial)]},
         }
-        discoveries[0].put({"seq": 900, "whole": True, "hosts": [entry("h", old.dial)]})
-        process, address = await started(config_file(tmp_path, **changes), EDGE_DISCOVERY=dials[0])
-        while "index=900" not in await soon(discoveries[0].calls.get()):
+        discoveries[0].put({"seq": 900, "whole": True, "hosts": [host_entry("h", old.dial)]})
+        process, address = await start_program(write_config(tmp_path, **changes), EDGE_DISCOVERY=dials[0])
+        while "index=900" not in await with_timeout(discoveries[0].calls.get()):
             pass
         client, other = await Client.connect(address), await Client.connect(address)
-        client.ask(b"1")
-        await soon(old.commands.get())
+        client.send_request(b"1")
+        await with_timeout(old.commands.get())
         (tmp_path / "config.json").write_text("{")
         process.send_signal(signal.SIGHUP)
-        await log_line(process, b"kept as it was")
+        await next_log_line(process, b"kept as it was")
         for _ in range(2):  # the second reload changes nothing
-            config_file(tmp_path, **changes | {"discovery": dials[1], "counter": counters[1].dial})
+            write_config(tmp_path, **changes | {"discovery": dials[1], "counter": counters[1].dial})
             process.send_signal(signal.SIGHUP)
-            await log_line(process, b"configuration read")
+            await next_log_line(process, b"configuration read")
             discoveries[1].put(
                 {
                     "seq": 3,
                     "whole": True,
-                    "hosts": [entry("h", old.dial, health="terminating"), entry("g", new.dial)],
+                    "hosts": [host_entry("h", old.dial, health="terminating"), host_entry("g", new.dial)],
                 }
             )
-            assert await soon(discoveries[1].calls.get()) == "/discovery/hosts"
-            assert "index=3&" in await soon(discoveries[1].calls.get())
+            assert await with_timeout(discoveries[1].calls.get()) == "/discovery/hosts"
+            assert "index=3&" in await with_timeout(discoveries[1].calls.get())
             discoveries[1].answers.put_nowait(None)  # for the watch that the next SIGHUP ends
         assert discoveries[0].calls.empty()
         old_counter_calls = counters[0].commands.qsize()
         assert old_counter_calls and counters[1].commands.empty()
-        other.ask(b"2")
-        assert await other.answer() == b"new"
+        other.send_request(b"2")
+        assert await other.read_answer() == b"new"
         assert counters[0].commands.qsize() == old_counter_calls and not counters[1].commands.empty()
         release.set()
-        assert await client.answer() == b"old"
+        assert await client.read_answer() == b"old"
         process.send_signal(signal.SIGTERM)
-        assert await soon(process.wait()) == 0
+        assert await with_timeout(process.wait()) == 0
         for server in [peer.server for peer in (old, new, *counters)] + [
             discovery.server for discovery in discoveries
         ]:
--- a/tests/test_node_services.py
+++ b/tests/test_node_services.py
@@ -18,17 +18,26 @@
 from rainturn.node import counter as counter_module
 from rainturn.node import discovery as discovery_module
 from rainturn.node.discovery import WATCH_WAIT_MS, Discovery, Refused
-from tests.sockets import LONG, WIRE, Peer, World, entry, run, served, soon
+from tests.sockets import (
+    DEFAULT_SETTINGS,
+    TIMEOUT_S,
+    GatewaySetup,
+    RespServer,
+    host_entry,
+    run,
+    success_answer,
+    with_timeout,
+)
 from tests.sockets import Discovery as Agent
 
 
 class CounterHarness:
     """Receives the results of counter calls in place of the module."""
 
-    def __init__(self, world: World) -> None:
+    def __init__(self, setup: GatewaySetup) -> None:
         self.events: asyncio.Queue[it.CountAnswered] = asyncio.Queue()
-        world.parts.node.feed = self._feed  # type: ignore[method-assign]
-        self.counter = world.parts.node.counter
+        setup.parts.node.feed = self._feed  # type: ignore[method-assign]
+        self.counter = setup.parts.node.counter
 
     def _feed(self, event: it.Event) -> None:
         if isinstance(event, it.CountAnswered):
@@ -37,29 +46,29 @@
     def disable_call_timeout(self) -> None:
         """From now on, let no call time out because the machine is busy."""
         counter: Any = self.counter
-        counter.timeout_ms = LONG * 1000
+        counter.timeout_ms = TIMEOUT_S * 1000
 
     async def next(self) -> tuple[int, it.Outcome, float]:
-        event = await soon(self.events.get())
+        event = await with_timeout(self.events.get())
         return event.name, event.outcome, event.total
 
 
 def test_a_count_is_sent_as_an_addget_command_and_its_total_is_reported() -> None:
     async def main() -> None:
-        async with World(counter=lambda words: b"$4\r\n12.5\r\n") as world:
-            harness = CounterHarness(world)
+        async with GatewaySetup(counter=lambda words: b"$4\r\n12.5\r\n") as setup:
+            harness = CounterHarness(setup)
             harness.disable_call_timeout()
             harness.counter.call(77, -2.5, 90_000.0)
             assert await harness.next() == (77, it.Outcome.OK, 12.5)
-            assert await soon(world.counter.commands.get()) == [b"ADDGET", b"77", b"-2.5", b"60000"]
+            assert await with_timeout(setup.counter.commands.get()) == [b"ADDGET", b"77", b"-2.5", b"60000"]
 
     run(main())
 
 
 def test_busy_adds_nothing() -> None:
     async def main() -> None:
-        async with World(counter=lambda words: b"-BUSY\r\n") as world:
-            harness = CounterHarness(world)
+        async with GatewaySetup(counter=lambda words: b"-BUSY\r\n") as setup:
+            harness = CounterHarness(setup)
             harness.disable_call_timeout()
             harness.counter.call(1, 1.0, 1000.0)
             assert await harness.next() == (1, it.Outcome.FULL, 0.0)
@@ -76,23 +85,25 @@
                 await release.wait()
             return b"$1\r\n%s\r\n" % words[1]
 
-        async with World(counter=handler) as world:
-            harness = CounterHarness(world)
+        async with GatewaySetup(counter=handler) as setup:
+            harness = CounterHarness(setup)
             harness.counter.call(1, 1.0, 1000.0)
             assert await harness.next() == (1, it.Outcome.TIMEOUT, 0.0)
             harness.disable_call_timeout()
             harness.counter.call(2, 1.0, 1000.0)
             release.set()
             assert await harness.next() == (2, it.Outcome.OK, 2.0)
-            assert harness.events.empty() and world.counter.connected.qsize() == 1
+            assert harness.events.empty() and setup.counter.connected.qsize() == 1
 
     run(main())
 
 
 def test_open_calls_on_a_counter_connection_that_breaks_end_as_reset_and_it_is_replaced() -> None:
     async def main() -> None:
-        async with World(counter=lambda words: Peer.RESET if words[1] == b"1" else b"$1\r\n9\r\n") as world:
-            harness = CounterHarness(world)
+        async with GatewaySetup(
+            counter=lambda words: RespServer.RESET if words[1] == b"1" else b"$1\r\n9\r\n"
+        ) as setup:
+            harness = CounterHarness(setup)
             harness.counter.call(1, 1.0, 1000.0)
             assert await harness.next() == (1, it.Outcome.RESET, 0.0)
             harness.disable_call_timeout()
@@ -105,26 +116,26 @@
 def test_a_silent_or_idle_counter_connection_is_replaced(monkeypatch: Any) -> None:
     async def main() -> None:
         monkeypatch.setattr(counter_module, "SILENT_TIMEOUTS", 0.0)
-        async with World(counter=lambda words: None if words[1] == b"1" else b"$1\r\n9\r\n") as world:
-            harness = CounterHarness(world)
+        async with GatewaySetup(counter=lambda words: None if words[1] == b"1" else b"$1\r\n9\r\n") as setup:
+            harness = CounterHarness(setup)
             harness.counter.call(1, 1.0, 1000.0)
             assert await harness.next() == (1, it.Outcome.TIMEOUT, 0.0)
             harness.disable_call_timeout()
             harness.counter.call(2, 1.0, 1000.0)
             assert await harness.next() == (2, it.Outcome.OK, 9.0)
-            assert world.counter.connected.qsize() == 2
+            assert setup.counter.connected.qsize() == 2
             monkeypatch.setattr(counter_module, "IDLE_LIMIT_MS", -1.0)
             harness.counter.call(3, 1.0, 1000.0)
             assert await harness.next() == (3, it.Outcome.OK, 9.0)
-            assert world.counter.connected.qsize() == 3
+            assert setup.counter.connected.qsize() == 3
 
     run(main())
 
 
 def test_calls_to_an_unreachable_counter_fail_and_later_calls_try_again() -> None:
     async def main() -> None:
-        async with World() as world:
-            harness, real = CounterHarness(world), await Peer(lambda words: b"$1\r\n9\r\n").start()
+        async with GatewaySetup() as setup:
+            harness, real = CounterHarness(setup), await RespServer(lambda words: b"$1\r\n9\r\n").start()
             counter: Any = harness.counter
             counter.address = ("127.0.0.1", 1)
             counter.call(1, 1.0, 1000.0)
@@ -160,14 +171,14 @@
             b"$999999999\r\n1",
         ):
             answers = iter([garbage])
-            async with World(lambda words: served(), counter=partial(_next, answers)) as world:
-                client = await world.client()
-                client.ask(b"1")
-                assert await client.answer() in (b"value", "-BUSY")
-                client.ask(b"2")
-                assert await client.answer() == b"value", garbage
+            async with GatewaySetup(lambda words: success_answer(), counter=partial(_next, answers)) as setup:
+                client = await setup.client()
+                client.send_request(b"1")
+                assert await client.read_answer() in (b"value", "-BUSY")
+                client.send_request(b"2")
+                assert await client.read_answer() == b"value", garbage
                 # There is one connection more if a call starts while another is open.
-                assert 2 <= world.counter.connected.qsize() <= 3
+                assert 2 <= setup.counter.connected.qsize() <= 3
 
     run(main())
 
@@ -175,33 +186,37 @@
 class DiscoveryHarness:
     """A discovery client of an agent that the test plays."""
 
-    def __init__(self, world: World, agent: Agent) -> None:
+    def __init__(self, setup: GatewaySetup, agent: Agent) -> None:
         self.lists: asyncio.Queue[it.HostList] = asyncio.Queue()
-        world.parts.node.feed = self._feed  # type: ignore[method-assign]
-        self.pools, self.agent = world.parts.pools, agent
-        self.discovery = Discovery(world.parts.node, self.pools, ("east", "west"), agent.address, 7)
+        setup.parts.node.feed = self._feed  # type: ignore[method-assign]
+        self.pools, self.agent = setup.parts.pools, agent
+        self.discovery = Discovery(setup.parts.node, self.pools, ("east", "west"), agent.address, 7)
 
     def _feed(self, event: it.Event) -> None:
         if isinstance(event, it.HostList):
             self.lists.put_nowait(event)
 
     async def next(self) -> tuple[it.ListKind, list[tuple[int, it.HostState]]]:
-        event = await soon(self.lists.get())
+        event = await with_timeout(self.lists.get())
         return event.kind, [(entry.host, entry.state) for entry in event.entries]
 
 
 async def _run_with_watch(test: Any) -> None:
     """Run `test(harness)` while a watch is open from version 5, a list of the hosts a and b."""
-    async with World() as world:
+    async with GatewaySetup() as setup:
         agent = await Agent().start()
-        harness = DiscoveryHarness(world, agent)
+        harness = DiscoveryHarness(setup, agent)
         task = asyncio.create_task(harness.discovery.run())
         agent.put(
-            {"seq": 5, "whole": True, "hosts": [entry("a", "127.0.0.1:1"), entry("b", "127.0.0.1:2", "west")]}
+            {
+                "seq": 5,
+                "whole": True,
+                "hosts": [host_entry("a", "127.0.0.1:1"), host_entry("b", "127.0.0.1:2", "west")],
+            }
         )
         assert await harness.next() == (it.ListKind.FULL, [(1, it.HostState.READY), (2, it.HostState.READY)])
-        assert await soon(agent.calls.get()) == "/discovery/hosts"
-        assert (await soon(agent.calls.get())).startswith("/discovery/hosts?index=5&wait=")
+        assert await with_timeout(agent.calls.get()) == "/discovery/hosts"
+        assert (await with_timeout(agent.calls.get())).startswith("/discovery/hosts?index=5&wait=")
         await test(harness)
         task.cancel()
         agent.server.close()
@@ -209,10 +224,10 @@
 
 def test_changes_are_applied_and_the_next_call_names_their_version() -> None:
     async def test(harness: DiscoveryHarness) -> None:
-        draining = entry("b", "127.0.0.1:2", "west", "terminating")
+        draining = host_entry("b", "127.0.0.1:2", "west", "terminating")
         harness.agent.put({"seq": 7, "whole": False, "hosts": [draining]})
         assert await harness.next() == (it.ListKind.DELTA, [(2, it.HostState.DRAINING)])
-        assert "index=7&" in await soon(harness.agent.calls.get())
+        assert "index=7&" in await with_timeout(harness.agent.calls.get())
         assert harness.pools.pools[2].leaving and not harness.pools.pools[1].leaving
 
     run(_run_with_watch(test))
@@ -220,7 +235,7 @@
 
 def test_a_full_list_that_answers_a_watch_removes_the_hosts_that_it_leaves_out() -> None:
     async def test(harness: DiscoveryHarness) -> None:
-        harness.agent.put({"seq": 9, "whole": True, "hosts": [entry("b", "127.0.0.1:3", "west")]})
+        harness.agent.put({"seq": 9, "whole": True, "hosts": [host_entry("b", "127.0.0.1:3", "west")]})
         assert await harness.next() == (it.ListKind.FULL, [(2, it.HostState.READY)])
         assert list(harness.pools.pools) == [2]
         assert harness.pools.pools[2].address == ("127.0.0.1", 3)
@@ -236,14 +251,14 @@
     """
 
     async def main() -> None:
-        async with World() as world:
+        async with GatewaySetup() as setup:
             agent = await Agent().start()
-            harness = DiscoveryHarness(world, agent)
-            known = [] if damage == "empty" else [entry("a", "127.0.0.1:1")]
+            harness = DiscoveryHarness(setup, agent)
+            known = [] if damage == "empty" else [host_entry("a", "127.0.0.1:1")]
             known += [{"host": "b"}] if damage == "entry" else []
             harness.discovery.apply({"seq": 5, "whole": True, "hosts": known}, cached=True)
             harness.discovery.start()
-            call = await soon(agent.calls.get())
+            call = await with_timeout(agent.calls.get())
             assert call == "/discovery/hosts" if damage else call.startswith("/discovery/hosts?index=5&wait=")
             await harness.discovery.stop()
             agent.server.close()
@@ -262,9 +277,9 @@
     """
 
     async def main() -> None:
-        async with World(wire={"discovery": mode, "balancers": gateways}) as world:
-            harness = DiscoveryHarness(world, await Agent().start())
-            known = {"seq": 5, "whole": True, "hosts": [entry("a", "127.0.0.1:1")]}
+        async with GatewaySetup(settings={"discovery": mode, "balancers": gateways}) as setup:
+            harness = DiscoveryHarness(setup, await Agent().start())
+            known = {"seq": 5, "whole": True, "hosts": [host_entry("a", "127.0.0.1:1")]}
             harness.discovery.apply(known, cached=True)
             waits: list[float] = []
 
@@ -289,8 +304,8 @@
 ) -> list[float]:
     """Return the delays of a discovery client, in s, while each call raises `error`."""
     delays: list[float] = []
-    async with World(wire={"discovery": mode, "balancers": gateways}) as world:
-        harness = DiscoveryHarness(world, await Agent().start())
+    async with GatewaySetup(settings={"discovery": mode, "balancers": gateways}) as setup:
+        harness = DiscoveryHarness(setup, await Agent().start())
 
         async def fail(path: str, timeout_ms: float) -> object:
             raise error
@@ -358,12 +373,14 @@
 
     async def main() -> None:
         for grace in (200.0, 1000.0, 30_000.0):
-            rules = WIRE["rules"] | {"drain_grace_ms": grace}
-            async with World(wire={"discovery": mode, "balancers": gateways, "rules": rules}) as world:
+            rules = DEFAULT_SETTINGS["rules"] | {"drain_grace_ms": grace}
+            async with GatewaySetup(
+                settings={"discovery": mode, "balancers": gateways, "rules": rules}
+            ) as setup:
                 agent = await Agent().start()
                 rng = random.Random(gateways)
                 for seed in range(40):
-                    harness = DiscoveryHarness(world, agent)
+                    harness = DiscoveryHarness(setup, agent)
                     harness.discovery.rng.seed(seed)
                     until = 0.001 if seed < 20 else rng.uniform(0.0, 40.0)
                     assert 0.0 <= await _seconds_until_known(harness, error, until, monkeypatch) <= 5.5
@@ -397,7 +414,7 @@
 
     async def main() -> None:
         delays = await _collect_retry_delays(gateways, "push", error, 50, monkeypatch)
-        grace = WIRE["rules"]["drain_grace_ms"] / 1000
+        grace = DEFAULT_SETTINGS["rules"]["drain_grace_ms"] / 1000
         assert max(delays) < grace / 4 and min(delays) < 0.7 * max(delays)
 
     run(main())
@@ -421,21 +438,25 @@
     """The agent answers no call at first, and later only new calls, as after an outage of discovery."""
 
     async def main() -> None:
-        async with World(wire={"rules": WIRE["rules"] | {"drain_grace_ms": 400}}) as world:
+        async with GatewaySetup(
+            settings={"rules": DEFAULT_SETTINGS["rules"] | {"drain_grace_ms": 400}}
+        ) as setup:
             agent = await Agent().start()
-            harness = DiscoveryHarness(world, agent)
-            known = {"seq": 5, "whole": True, "hosts": [entry("a", "127.0.0.1:1")]}
+            harness = DiscoveryHarness(setup, agent)
+            known = {"seq": 5, "whole": True, "hosts": [host_entry("a", "127.0.0.1:1")]}
             harness.discovery.apply(known, cached=True)
             await harness.next()
             harness.discovery.start()
             for _ in range(4):
-                call = await soon(agent.calls.get())
+                call = await with_timeout(agent.calls.get())
                 assert call == "/discovery/hosts?index=5&wait=1"
                 agent.answers.put_nowait(None)  # never answered
-            await soon(agent.calls.get())
-            agent.put({"seq": 6, "whole": False, "hosts": [entry("a", "127.0.0.1:1", health="terminating")]})
+            await with_timeout(agent.calls.get())
+            agent.put(
+                {"seq": 6, "whole": False, "hosts": [host_entry("a", "127.0.0.1:1", health="terminating")]}
+            )
             assert await harness.next() == (it.ListKind.DELTA, [(1, it.HostState.DRAINING)])
-            assert await soon(agent.calls.get()) == f"/discovery/hosts?index=6&wait={WATCH_WAIT_MS}"
+            assert await with_timeout(agent.calls.get()) == f"/discovery/hosts?index=6&wait={WATCH_WAIT_MS}"
             await harness.discovery.stop()
             agent.server.close()
 
@@ -444,12 +465,12 @@
 
 def test_an_older_version_changes_nothing() -> None:
     async def test(harness: DiscoveryHarness) -> None:
-        gone = entry("a", "127.0.0.1:1", health="terminated")
+        gone = host_entry("a", "127.0.0.1:1", health="terminated")
         harness.agent.put({"seq": 3, "whole": False, "hosts": [gone]})
         # The client fetches the full list, because the numbering may have restarted.
-        assert await soon(harness.agent.calls.get()) == "/discovery/hosts"
+        assert await with_timeout(harness.agent.calls.get()) == "/discovery/hosts"
         assert harness.lists.empty()
-        harness.agent.put({"seq": 6, "whole": True, "hosts": [entry("a", "127.0.0.1:1")]})
+        harness.agent.put({"seq": 6, "whole": True, "hosts": [host_entry("a", "127.0.0.1:1")]})
         assert await harness.next() == (it.ListKind.FULL, [(1, it.HostState.READY)])
 
     run(_run_with_watch(test))
@@ -464,10 +485,10 @@
     """
 
     async def test(harness: DiscoveryHarness) -> None:
-        older = {"seq": 3, "whole": True, "hosts": [entry("b", "127.0.0.1:2", "west")]}
+        older = {"seq": 3, "whole": True, "hosts": [host_entry("b", "127.0.0.1:2", "west")]}
         for _ in range(5):
             harness.agent.put(older)
-            assert await soon(harness.agent.calls.get()) == "/discovery/hosts"
+            assert await with_timeout(harness.agent.calls.get()) == "/discovery/hosts"
         assert harness.lists.empty()
         monkeypatch.setattr(discovery_module, "RENUMBERED_AFTER_MS", 0.0)
         harness.agent.put(older)
@@ -480,17 +501,17 @@
     async def test(harness: DiscoveryHarness) -> None:
         for broken in (b"{", b"[]", b'{"seq":"x","hosts":[]}'):
             harness.agent.put(broken)
-            assert "index=5&" in await soon(harness.agent.calls.get())
+            assert "index=5&" in await with_timeout(harness.agent.calls.get())
         harness.agent.put(
             {
                 "seq": 6,
                 "whole": False,
                 "hosts": [
                     {"host": "c"},
-                    entry("c", "nowhere"),
-                    entry("c", "127.0.0.1:4", health="odd"),
-                    entry("c", "127.0.0.1:4", born_ms=float("nan")),
-                    entry("d", "127.0.0.1:5"),
+                    host_entry("c", "nowhere"),
+                    host_entry("c", "127.0.0.1:4", health="odd"),
+                    host_entry("c", "127.0.0.1:4", born_ms=float("nan")),
+                    host_entry("d", "127.0.0.1:5"),
                 ],
             }
         )
@@ -505,10 +526,10 @@
     monkeypatch.setattr(discovery_module, "WATCH_WAIT_MS", 100)
 
     async def test(harness: DiscoveryHarness) -> None:
-        assert "index=5&" in await soon(harness.agent.calls.get())  # on a new connection
+        assert "index=5&" in await with_timeout(harness.agent.calls.get())  # on a new connection
         harness.agent.answers.put_nowait(None)  # consumed by the call on the abandoned connection
         harness.agent.put(
-            {"seq": 6, "whole": False, "hosts": [entry("a", "127.0.0.1:1", health="terminated")]}
+            {"seq": 6, "whole": False, "hosts": [host_entry("a", "127.0.0.1:1", health="terminated")]}
         )
         assert await harness.next() == (it.ListKind.DELTA, [(1, it.HostState.GONE)])
 
@@ -522,17 +543,17 @@
         old_writer, new_agent = harness.discovery.writer, Agent()
         await new_agent.start()
         assert old_writer is not None
-        harness.agent.put({"seq": 9, "whole": True, "hosts": [entry("c", "127.0.0.1:3")]})
+        harness.agent.put({"seq": 9, "whole": True, "hosts": [host_entry("c", "127.0.0.1:3")]})
         duplicate = socket.socket(fileno=socket.dup(old_writer.get_extra_info("socket").fileno()))
         while not select.select([duplicate], [], [], 0)[0]:  # the agent has written it
             if not harness.agent.answers.empty():
                 harness.agent.writers[-1].write(harness.agent.answers.get_nowait() or b"")
         duplicate.close()
         harness.discovery.move(new_agent.address)
-        new_agent.put({"seq": 2, "whole": True, "hosts": [entry("b", "127.0.0.1:2", "west")]})
+        new_agent.put({"seq": 2, "whole": True, "hosts": [host_entry("b", "127.0.0.1:2", "west")]})
         assert await harness.next() == (it.ListKind.FULL, [(2, it.HostState.READY)])
-        assert await soon(new_agent.calls.get()) == "/discovery/hosts"
-        assert "index=2&" in await soon(new_agent.calls.get()) and harness.lists.empty()
+        assert await with_timeout(new_agent.calls.get()) == "/discovery/hosts"
+        assert "index=2&" in await with_timeout(new_agent.calls.get()) and harness.lists.empty()
         await harness.discovery.stop()
         new_agent.server.close()
 
@@ -541,9 +562,11 @@
 
 def test_an_indented_list_is_accepted_and_a_truncated_one_changes_nothing() -> None:
     async def test(harness: DiscoveryHarness) -> None:
-        whole = json.dumps({"seq": 6, "whole": True, "hosts": [entry("a", "127.0.0.1:1")]}, indent=4).encode()
+        whole = json.dumps(
+            {"seq": 6, "whole": True, "hosts": [host_entry("a", "127.0.0.1:1")]}, indent=4
+        ).encode()
         harness.agent.put(whole[:-20])
-        assert "index=5&" in await soon(harness.agent.calls.get())
+        assert "index=5&" in await with_timeout(harness.agent.calls.get())
         assert harness.lists.empty()
         harness.agent.put(whole)
         assert await harness.next() == (it.ListKind.FULL, [(1, it.HostState.READY)])
@@ -553,8 +576,8 @@
 
 def test_the_retry_delays_of_gateways_are_distributed_over_the_whole_range() -> None:
     async def main() -> None:
-        async with World(lambda words: served(), wire={"discovery": "ask"}) as world:
-            node, pools = world.parts.node, world.parts.pools
+        async with GatewaySetup(lambda words: success_answer(), settings={"discovery": "ask"}) as setup:
+            node, pools = setup.parts.node, setup.parts.pools
             fleet = [Discovery(node, pools, ("east",), ("127.0.0.1", 1), seed) for seed in range(40)]
             first = sorted(discovery._retry_delay_ms(1) for discovery in fleet)
             assert first[0] < 40.0 and 260.0 < first[-1] <= 300.0
@@ -567,8 +590,8 @@
 
 def test_a_timer_that_the_loop_fires_early_reaches_the_module_no_earlier_than_due() -> None:
     async def main() -> None:
-        async with World() as world:
-            node, fired = world.parts.node, asyncio.Event()
+        async with GatewaySetup() as setup:
+            node, fired = setup.parts.node, asyncio.Event()
             due, times = node.clock.now() + 20.0, list[float]()
 
             def feed(event: it.Event) -> None:
@@ -578,7 +601,7 @@
             node.feed = feed  # type: ignore[method-assign]
             node._on_timer(due, 0)
             assert not times
-            await soon(fired.wait())
+            await with_timeout(fired.wait())
             assert times[0] >= due
 
     run(main())
@@ -586,8 +609,8 @@
 
 def test_an_exception_in_the_module_loses_no_request_and_no_timer() -> None:
     async def main() -> None:
-        async with World(lambda words: served()) as world:
-            node = world.parts.node
+        async with GatewaySetup(lambda words: success_answer()) as setup:
+            node = setup.parts.node
             handle, failing = node.decision_module.handle, {it.Arrived, it.TimerFired}
             timer_again = asyncio.Event()
 
@@ -601,13 +624,13 @@
                 return actions
 
             node.decision_module.handle = handle_and_fail  # type: ignore[method-assign]
-            client = await world.client()
-            client.ask(b"1")
-            assert str(await client.answer()).startswith("-ERR")
-            await soon(timer_again.wait())
+            client = await setup.client()
+            client.send_request(b"1")
+            assert str(await client.read_answer()).startswith("-ERR")
+            await with_timeout(timer_again.wait())
             assert not failing
-            client.ask(b"2")
-            assert await client.answer() == b"value"
+            client.send_request(b"2")
+            assert await client.read_answer() == b"value"
 
     run(main())
 
@@ -616,10 +639,10 @@
     caplog: pytest.LogCaptureFixture,
 ) -> None:
     async def main() -> None:
-        async with World(lambda words: served(), wire={"discovery": "ask"}) as world:
-            client = await world.client()
-            client.ask(b"1")
-            assert await client.answer() == b"value"
+        async with GatewaySetup(lambda words: success_answer(), settings={"discovery": "ask"}) as setup:
+            client = await setup.client()
+            client.send_request(b"1")
+            assert await client.read_answer() == b"value"
 
     run(main())
     assert not caplog.records
@@ -627,8 +650,8 @@
 
 def test_an_action_for_a_request_that_has_ended_changes_nothing() -> None:
     async def main() -> None:
-        async with World(lambda words: served()) as world:
-            node, seen = world.parts.node, list[it.Event]()
+        async with GatewaySetup(lambda words: success_answer()) as setup:
+            node, seen = setup.parts.node, list[it.Event]()
             handle = node.decision_module.handle
 
             def record_event(now: float, event: it.Event) -> list[it.Action]:
@@ -641,8 +664,8 @@
             assert [(e.outcome, e.final) for e in seen if isinstance(e, it.AttemptEnded)] == [
                 (it.Outcome.NOT_SENT, True)
             ]
-            client = await world.client()
-            client.ask(b"1")
-            assert await client.answer() == b"value"
+            client = await setup.client()
+            client.send_request(b"1")
+            assert await client.read_answer() == b"value"
 
     run(main())
