--- a/tests/test_node_size.py
+++ b/tests/test_node_size.py
@@ -12,8 +12,8 @@
 from rainturn import interface as it
 from rainturn.node import client_timeouts, host_connection, host_pools
 from rainturn.node.resp import MAX_BUFFERED_BYTES, pack
-from tests.helpers import LIMITS, Drive, of, settings
-from tests.sockets import Client, World, reset, run, served, soon
+from tests.helpers import LIMITS, GatewayDriver, of_type, settings
+from tests.sockets import Client, GatewaySetup, reset, run, success_answer, with_timeout
 
 MAX_LENGTH = 4 << 20
 FIELDS = b"c=%s,t=basic,d=5000,units=1,spread=1,first=0"
@@ -47,23 +47,23 @@
         self.server = await asyncio.start_server(connected, "127.0.0.1", 0, limit=1 << 16)
         return self
 
-    async def next(self, world: World) -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
-        return await soon(self.connections.get())  # type: ignore[no-any-return]
+    async def next(self, setup: GatewaySetup) -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
+        return await with_timeout(self.connections.get())  # type: ignore[no-any-return]
 
 
-async def _replace_host(world: World) -> ScriptedHost:
-    """Replace the only host of the world with a scripted one."""
+async def _replace_host(setup: GatewaySetup) -> ScriptedHost:
+    """Replace the only host of the gateway with a scripted one."""
     scripted_host = await ScriptedHost().start()
-    world.parts.pools.pools[1].address = scripted_host.server.sockets[0].getsockname()
+    setup.parts.pools.pools[1].address = scripted_host.server.sockets[0].getsockname()
     return scripted_host
 
 
 async def _receive_command(reader: asyncio.StreamReader) -> list[bytes]:
     """Receive a command; its last argument may be long."""
     arguments = []
-    for _ in range(int((await soon(reader.readline()))[1:])):
-        length = int((await soon(reader.readline()))[1:])
-        arguments.append((await soon(reader.readexactly(length + 2)))[:-2])
+    for _ in range(int((await with_timeout(reader.readline()))[1:])):
+        length = int((await with_timeout(reader.readline()))[1:])
+        arguments.append((await with_timeout(reader.readexactly(length + 2)))[:-2])
     return arguments
 
 
@@ -78,8 +78,8 @@
     async def main() -> None:
         body, value = _random_bytes(length), _random_bytes(length + 1 if length < MAX_LENGTH else length)
 
-        async with World(lambda words: served()) as world:
-            scripted_host, client = await _replace_host(world), await world.client()
+        async with GatewaySetup(lambda words: success_answer()) as setup:
+            scripted_host, client = await _replace_host(setup), await setup.client()
             sock = client.writer.get_extra_info("socket")
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
             writer: asyncio.StreamWriter | None = None
@@ -93,17 +93,17 @@
 
                 task = asyncio.create_task(send())
                 if writer is None:
-                    reader, writer = await scripted_host.next(world)
+                    reader, writer = await scripted_host.next(setup)
                 words = await _receive_command(reader)
                 assert words[2] == request_id and words[4] == body
                 await task
-                for piece in _split(served(value)):
+                for piece in _split(success_answer(value)):
                     writer.write(piece)
                     await asyncio.sleep(0)
-                assert await client.answer() == value
-            while len(world.parts.pools.pools[1].idle) != 1:  # until the fields after the value have arrived
+                assert await client.read_answer() == value
+            while len(setup.parts.pools.pools[1].idle) != 1:  # until the fields after the value have arrived
                 await asyncio.sleep(0)
-            figures = await world.figures()
+            figures = await setup.metrics()
             assert figures["handled.pay.passed"] == figures["upstream_tries"] == 2
             scripted_host.server.close()
 
@@ -113,27 +113,27 @@
 def test_a_slow_client_pauses_reading_from_the_host_and_little_is_buffered() -> None:
     async def main() -> None:
         value = _random_bytes(MAX_LENGTH)
-        async with World(lambda words: served()) as world:
-            scripted_host = await _replace_host(world)
+        async with GatewaySetup(lambda words: success_answer()) as setup:
+            scripted_host = await _replace_host(setup)
             sock = socket.socket()
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 8192)
             sock.setblocking(False)
-            await asyncio.get_running_loop().sock_connect(sock, world.address)
+            await asyncio.get_running_loop().sock_connect(sock, setup.address)
             client = Client(*await asyncio.open_connection(sock=sock, limit=4096))
-            client.ask(b"1")
-            reader, writer = await scripted_host.next(world)
+            client.send_request(b"1")
+            reader, writer = await scripted_host.next(setup)
             await _receive_command(reader)
-            (connection,) = world.parts.clients.connections
+            (connection,) = setup.parts.clients.connections
             gateway_sock = connection.transport.get_extra_info("socket")
             gateway_sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 8192)
             writer.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 8192)
             writer.transport.set_write_buffer_limits(0)
-            writer.write(served(value))
+            writer.write(success_answer(value))
             while not connection.writing_paused:
                 await asyncio.sleep(0)
-            (host,) = world.parts.pools.pools[1].connections
+            (host,) = setup.parts.pools.pools[1].connections
             assert host.reading_paused and connection.transport.get_write_buffer_size() < 1 << 19
-            assert await client.answer() == value
+            assert await client.read_answer() == value
             scripted_host.server.close()
 
     run(main())
@@ -142,24 +142,24 @@
 def test_a_slow_host_pauses_reading_from_the_client_and_little_is_buffered() -> None:
     async def main() -> None:
         body = _random_bytes(MAX_LENGTH)
-        async with World(lambda words: served()) as world:
-            pool = world.parts.pools.pools[1]
+        async with GatewaySetup(lambda words: success_answer()) as setup:
+            pool = setup.parts.pools.pools[1]
             listener = socket.create_server(("127.0.0.1", 0))
             listener.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 8192)
             listener.setblocking(False)
             pool.address = listener.getsockname()
-            client = await world.client()
-            client.ask(b"1", b"pay", body=body)
-            sock, _ = await soon(asyncio.get_running_loop().sock_accept(listener))
-            (connection,) = world.parts.clients.connections
+            client = await setup.client()
+            client.send_request(b"1", b"pay", body=body)
+            sock, _ = await with_timeout(asyncio.get_running_loop().sock_accept(listener))
+            (connection,) = setup.parts.clients.connections
             while not connection.reading_paused:
                 await asyncio.sleep(0)
             (host,) = pool.connections
             assert host.transport.get_write_buffer_size() < 1 << 20
             reader, writer = await asyncio.open_connection(sock=sock, limit=4096)
             assert (await _receive_command(reader))[4] == body
-            writer.write(served())
-            assert await client.answer() == b"value"
+            writer.write(success_answer())
+            assert await client.read_answer() == b"value"
             listener.close()
 
     run(main())
@@ -169,22 +169,22 @@
 def test_an_interrupted_value_is_forwarded_as_far_as_received_and_is_visibly_short(how: str) -> None:
     async def main() -> None:
         value = _random_bytes(200_000)
-        async with World(lambda words: served()) as world:
-            scripted_host, client = await _replace_host(world), await world.client()
-            client.ask(b"1")
-            reader, writer = await scripted_host.next(world)
+        async with GatewaySetup(lambda words: success_answer()) as setup:
+            scripted_host, client = await _replace_host(setup), await setup.client()
+            client.send_request(b"1")
+            reader, writer = await scripted_host.next(setup)
             await _receive_command(reader)
-            answer = served(value)
+            answer = success_answer(value)
             writer.write(answer[:150_000] if how != "lying" else answer.replace(b"$200000", b"$199990"))
-            beginning = await soon(client.reader.readexactly(100_000))
+            beginning = await with_timeout(client.reader.readexactly(100_000))
             if how == "reset":
                 reset(writer)
             elif how == "end":
                 writer.close()
-            received = beginning + await soon(client.reader.read())
+            received = beginning + await with_timeout(client.reader.read())
             assert received.startswith(b"$") and value.startswith(received.partition(b"\r\n")[2])
             assert not received.endswith(b"\r\n") and len(received) < 200_000 + 9
-            figures = await world.figures()
+            figures = await setup.metrics()
             assert figures["handled.read.bad_gateway"] == 1 and figures["upstream_tries"] == 1  # no repeat
             scripted_host.server.close()
 
@@ -193,14 +193,14 @@
 
 def test_a_streamed_body_is_not_sent_twice_and_its_request_is_refused_at_once() -> None:
     async def main() -> None:
-        async with World(lambda words: b"-BUSY\r\n", lambda words: b"-BUSY\r\n") as world:
-            client = await world.client()
-            client.ask(b"1", b"pay", body=_random_bytes(200_000))
-            assert str(await client.answer()).startswith("-BUSY")  # the request never ran
-            assert sum(host.commands.qsize() for host in world.hosts) == 1
-            client.ask(b"2", b"pay", body=b"short")
-            assert str(await client.answer()).startswith("-BUSY")
-            assert sum(host.commands.qsize() for host in world.hosts) > 2  # a short body is sent again
+        async with GatewaySetup(lambda words: b"-BUSY\r\n", lambda words: b"-BUSY\r\n") as setup:
+            client = await setup.client()
+            client.send_request(b"1", b"pay", body=_random_bytes(200_000))
+            assert str(await client.read_answer()).startswith("-BUSY")  # the request never ran
+            assert sum(host.commands.qsize() for host in setup.hosts) == 1
+            client.send_request(b"2", b"pay", body=b"short")
+            assert str(await client.read_answer()).startswith("-BUSY")
+            assert sum(host.commands.qsize() for host in setup.hosts) > 2  # a short body is sent again
 
     run(main())
 
@@ -219,15 +219,15 @@
                 }
             ]
         }
-        async with World(lambda words: served(), wire=wire) as world:
-            client = await world.client()
-            client.ask(b"1")
-            assert await client.answer() == b"value"
+        async with GatewaySetup(lambda words: success_answer(), settings=wire) as setup:
+            client = await setup.client()
+            client.send_request(b"1")
+            assert await client.read_answer() == b"value"
             client.send(b"API.WRITE", b"00000000b4d65521", b"2", FIELDS % b"pay", _random_bytes(MAX_LENGTH))
-            assert str(await client.answer()).startswith("-BUSY")
+            assert str(await client.read_answer()).startswith("-BUSY")
             client.send(b"PING")
-            assert await client.answer() == b"PONG"
-            assert (await world.figures())["in_progress"] == 0
+            assert await client.read_answer() == b"PONG"
+            assert (await setup.metrics())["in_progress"] == 0
 
     run(main())
 
@@ -236,14 +236,14 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     async def main() -> None:
-        async with World(lambda words: served()) as world:
-            scripted_host, client = await _replace_host(world), await world.client()
+        async with GatewaySetup(lambda words: success_answer()) as setup:
+            scripted_host, client = await _replace_host(setup), await setup.client()
             command = pack([b"API.WRITE", b"00000000b4d65521", b"1", FIELDS % b"pay", _random_bytes(100_000)])
             client.writer.write(command[:70_000])
-            reader, writer = await scripted_host.next(world)
-            assert str(await client.answer()).startswith("-ERR the command did not come whole")
-            assert not (await soon(reader.read())).endswith(b"\r\n")
-            figures = await world.figures()
+            reader, writer = await scripted_host.next(setup)
+            assert str(await client.read_answer()).startswith("-ERR the command did not come whole")
+            assert not (await with_timeout(reader.read())).endswith(b"\r\n")
+            figures = await setup.metrics()
             assert figures["upstream_tries"] == figures["handled.pay.bad_gateway"] == 0
             scripted_host.server.close()
 
@@ -253,15 +253,15 @@
 
 def test_a_body_without_its_crlf_fails_the_command_before_it_is_complete_at_the_host() -> None:
     async def main() -> None:
-        async with World(lambda words: served()) as world:
-            scripted_host, client = await _replace_host(world), await world.client()
+        async with GatewaySetup(lambda words: success_answer()) as setup:
+            scripted_host, client = await _replace_host(setup), await setup.client()
             command = pack([b"API.WRITE", b"00000000b4d65521", b"1", FIELDS % b"pay", _random_bytes(100_000)])
             client.writer.write(command[:70_000])
-            reader, _ = await scripted_host.next(world)
+            reader, _ = await scripted_host.next(setup)
             client.writer.write(command[70_000:-2] + b"xx")
-            assert str(await client.answer()).startswith("-ERR")
-            assert not (await soon(reader.read())).endswith(b"\r\n")
-            assert (await world.figures())["upstream_tries"] == 0
+            assert str(await client.read_answer()).startswith("-ERR")
+            assert not (await with_timeout(reader.read())).endswith(b"\r\n")
+            assert (await setup.metrics())["upstream_tries"] == 0
             scripted_host.server.close()
 
     run(main())
@@ -269,13 +269,13 @@
 
 def test_an_attempt_ends_if_its_host_accepts_no_byte_of_a_body(monkeypatch: pytest.MonkeyPatch) -> None:
     async def main() -> None:
-        async with World(lambda words: served()) as world:
+        async with GatewaySetup(lambda words: success_answer()) as setup:
             listener = socket.create_server(("127.0.0.1", 0))
             listener.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 8192)
-            world.parts.pools.pools[1].address = listener.getsockname()
-            client = await world.client()
-            client.ask(b"1", b"pay", body=_random_bytes(MAX_LENGTH))
-            assert str(await client.answer()).startswith("-BUSY")  # an incomplete command never runs
+            setup.parts.pools.pools[1].address = listener.getsockname()
+            client = await setup.client()
+            client.send_request(b"1", b"pay", body=_random_bytes(MAX_LENGTH))
+            assert str(await client.read_answer()).startswith("-BUSY")  # an incomplete command never runs
             listener.close()
 
     monkeypatch.setattr(host_connection, "UPLOAD_STALL_LIMIT_S", 0.2)
@@ -284,10 +284,10 @@
 
 def test_a_client_that_disconnects_during_an_upload_or_a_download_frees_the_host() -> None:
     async def main() -> None:
-        async with World(lambda words: served()) as world:
-            scripted_host = await _replace_host(world)
+        async with GatewaySetup(lambda words: success_answer()) as setup:
+            scripted_host = await _replace_host(setup)
             for uploading in (True, False):
-                client = await world.client()
+                client = await setup.client()
                 command = pack(
                     [
                         b"API.WRITE",
@@ -298,18 +298,18 @@
                     ]
                 )
                 client.writer.write(command[:80_000])
-                reader, writer = await scripted_host.next(world)
+                reader, writer = await scripted_host.next(setup)
                 if not uploading:
                     await _receive_command(reader)
-                    writer.write(served(_random_bytes(MAX_LENGTH))[: 1 << 20])
-                    await soon(client.reader.readexactly(1000))
+                    writer.write(success_answer(_random_bytes(MAX_LENGTH))[: 1 << 20])
+                    await with_timeout(client.reader.readexactly(1000))
                 client.writer.transport.abort()
                 if uploading:
-                    await soon(reader.read())  # returns at the end of the connection
+                    await with_timeout(reader.read())  # returns at the end of the connection
                 else:
-                    while world.parts.pools.pools[1].connections:
+                    while setup.parts.pools.pools[1].connections:
                         await asyncio.sleep(0)
-            assert not world.parts.node.requests
+            assert not setup.parts.node.requests
             scripted_host.server.close()
 
     run(main())
@@ -321,19 +321,19 @@
     monkeypatch.setattr(host_pools, "REUSE_DELAY_MS", 0.0)  # connections can be reused at once
 
     async def main() -> None:
-        async with World(lambda words: served()) as world:
-            scripted_host, client = await _replace_host(world), await world.client()
-            client.ask(b"1")
-            reader, writer = await scripted_host.next(world)
+        async with GatewaySetup(lambda words: success_answer()) as setup:
+            scripted_host, client = await _replace_host(setup), await setup.client()
+            client.send_request(b"1")
+            reader, writer = await scripted_host.next(setup)
             await _receive_command(reader)
             writer.write(b"*3\r\n$5\r\nvalue\r\n$-1\r\n$")
-            assert await client.answer() == b"value"
-            client.ask(b"2")
-            _, other = await scripted_host.next(world)  # the first connection is still busy
+            assert await client.read_answer() == b"value"
+            client.send_request(b"2")
+            _, other = await scripted_host.next(setup)  # the first connection is still busy
             writer.write(b"-1\r\n")
-            while len(world.parts.pools.pools[1].idle) != 1:
+            while len(setup.parts.pools.pools[1].idle) != 1:
                 await asyncio.sleep(0)
-            client.ask(b"3")
+            client.send_request(b"3")
             assert (await _receive_command(reader))[2] == b"3"
             other.close()
             scripted_host.server.close()
@@ -341,41 +341,49 @@
     run(main())
 
 
-def _start_request(drive: Drive, whole: bool) -> it.Send:
-    drive.serial += 1
-    arrived = it.Arrived(drive.serial, drive.now + 5000, drive.serial, 0, 0, 1.0, 1.0, False, whole)
-    (send,) = of(drive.feed(arrived), it.Send)
+def _start_request(driver: GatewayDriver, whole: bool) -> it.Send:
+    driver.last_request += 1
+    arrived = it.Arrived(
+        driver.last_request, driver.now + 5000, driver.last_request, 0, 0, 1.0, 1.0, False, whole
+    )
+    (send,) = of_type(driver.handle(arrived), it.Send)
     return send  # type: ignore[no-any-return]
 
 
 def test_a_transfer_counts_neither_as_load_nor_as_silence_of_its_host() -> None:
-    drive = Drive(settings(counter=False, limits=LIMITS), fleet=2)
-    send = _start_request(drive, whole=False)
-    host = drive.gate.hosts[send.host]
+    driver = GatewayDriver(settings(counter=False, limits=LIMITS), host_count=2)
+    send = _start_request(driver, whole=False)
+    host = driver.gateway.hosts[send.host]
     assert host.open_attempts == 0
-    assert not of(drive.run_for(4000.0), it.Cancel) and host.failures == 0  # during an upload of four seconds
-    drive.feed(it.BodyComplete(send.request, drive.now + 5000))
+    assert (
+        not of_type(driver.advance_clock(4000.0), it.Cancel) and host.failures == 0
+    )  # during an upload of four seconds
+    driver.handle(it.BodyComplete(send.request, driver.now + 5000))
     assert host.open_attempts == 1
-    drive.now += 100.0
-    drive.feed(it.StreamBegan(send.request, 0))
+    driver.now += 100.0
+    driver.handle(it.StreamBegan(send.request, 0))
     assert host.open_attempts == 0
     latency_before = host.latency_ratio
-    assert not of(drive.run_for(4000.0), it.Cancel) and host.failures == 0  # during a value of four seconds
-    drive.feed(it.AttemptEnded(send.request, 0, send.host, it.Outcome.OK, 4100.0, True))
+    assert (
+        not of_type(driver.advance_clock(4000.0), it.Cancel) and host.failures == 0
+    )  # during a value of four seconds
+    driver.handle(it.AttemptEnded(send.request, 0, send.host, it.Outcome.OK, 4100.0, True))
     assert (
         (host.open_attempts, host.latency_ratio) == (0, latency_before)
-        and not drive.gate.open
-        and not drive.gate.attempts.ended
+        and not driver.gateway.open
+        and not driver.gateway.attempts.ended
     )
 
 
 @pytest.mark.parametrize("outcome", [it.Outcome.FULL, it.Outcome.UNREACHABLE, it.Outcome.RESET])
 def test_a_request_whose_body_has_been_forwarded_gets_no_other_attempt(outcome: it.Outcome) -> None:
-    drive = Drive(settings(counter=False, limits=LIMITS), fleet=2)
-    send = _start_request(drive, whole=False)
-    second_sends = of(drive.feed(it.AttemptEnded(send.request, 0, send.host, outcome, 50.0, False)), it.Send)
+    driver = GatewayDriver(settings(counter=False, limits=LIMITS), host_count=2)
+    send = _start_request(driver, whole=False)
+    second_sends = of_type(
+        driver.handle(it.AttemptEnded(send.request, 0, send.host, outcome, 50.0, False)), it.Send
+    )
     assert second_sends  # none of the body had been sent
     end = it.AttemptEnded(send.request, 1, second_sends[0].host, outcome, 50.0, False, body_consumed=True)
-    actions: list[Any] = drive.feed(end)
-    assert not of(actions, it.Send) and of(actions, it.Refuse)
-    assert all(host.open_attempts == 0 for host in drive.gate.hosts.values())
+    actions: list[Any] = driver.handle(end)
+    assert not of_type(actions, it.Send) and of_type(actions, it.Refuse)
+    assert all(host.open_attempts == 0 for host in driver.gateway.hosts.values())
--- a/tests/test_node_upgrade.py
+++ b/tests/test_node_upgrade.py
@@ -22,8 +22,19 @@
 from rainturn.node import handover
 from rainturn.node.handover import POLL_S, STATE_FILE, SUCCESSOR_FILE, Handover, inherited_listener
 from rainturn.state import StateMismatch, restore_state, save_state
-from tests.helpers import PLAN, Drive, of, settings
-from tests.sockets import WIRE, Client, Discovery, Peer, Totals, control, entry, run, served, soon
+from tests.helpers import PLAN, GatewayDriver, of_type, settings
+from tests.sockets import (
+    DEFAULT_SETTINGS,
+    Client,
+    CounterHandler,
+    Discovery,
+    RespServer,
+    host_entry,
+    run,
+    send_control_call,
+    success_answer,
+    with_timeout,
+)
 
 
 def _free_address() -> str:
@@ -68,7 +79,7 @@
                     "name": "n0",
                     "listen": "127.0.0.1:0",
                     "seed": "2a",
-                    "settings": WIRE,
+                    "settings": DEFAULT_SETTINGS,
                     "limits": {"memory_mb": 192, "sockets": 256},
                     "control": f"127.0.0.1:{self.control[1]}",
                 }
@@ -95,21 +106,21 @@
 
     async def wait_for_line(self, text: bytes) -> bytes:
         assert self.process.stderr is not None
-        while text not in (line := await soon(self.process.stderr.readline())):
+        while text not in (line := await with_timeout(self.process.stderr.readline())):
             self.earlier_lines.append(line)
             assert line, self.earlier_lines
         return bytes(line)
 
     async def metric(self, name: str) -> int:
-        _, text = await control(self.control, "/control/counters")
+        _, text = await send_control_call(self.control, "/control/counters")
         return int(text.partition(f"gateway.{name}:")[2].partition("|")[0])
 
     async def is_ready(self) -> bool:
-        return (await control(self.control, "/control/ready"))[0] == 200
+        return (await send_control_call(self.control, "/control/ready"))[0] == 200
 
     async def stop(self) -> None:
         self.process.send_signal(signal.SIGTERM)
-        assert await soon(self.process.wait()) == 0
+        assert await with_timeout(self.process.wait()) == 0
 
 
 def test_new_process_takes_over_listener_without_losing_requests(tmp_path: Path) -> None:
@@ -119,11 +130,11 @@
         async def handler(words: list[bytes]) -> bytes:
             if words[2] == b"held":
                 await release.wait()
-            return served(words[2])
+            return success_answer(words[2])
 
-        host, counter = await Peer(handler).start(), await Peer(Totals()).start()
+        host, counter = await RespServer(handler).start(), await RespServer(CounterHandler()).start()
         discovery = await Discovery().start()
-        known = {"seq": 1, "whole": True, "hosts": [entry("h", host.dial)]}
+        known = {"seq": 1, "whole": True, "hosts": [host_entry("h", host.dial)]}
         changes: dict[str, Any] = {
             "counter": counter.dial,
             "known": known,
@@ -136,27 +147,27 @@
             address = listener.getsockname()
             old = await GatewayProcess(tmp_path, listener, **changes).start()
             idle, busy = await Client.connect(address), await Client.connect(address)
-            idle.ask(b"1")
-            assert await idle.answer() == b"1"
-            busy.ask(b"held")
-            while (await soon(host.commands.get()))[2] != b"held":
+            idle.send_request(b"1")
+            assert await idle.read_answer() == b"1"
+            busy.send_request(b"held")
+            while (await with_timeout(host.commands.get()))[2] != b"held":
                 pass
             new = await GatewayProcess(tmp_path, listener, **changes).start()
             assert any(b"carried on" in line for line in new.earlier_lines)
             assert await new.is_ready() and await old.is_ready()
             old.process.send_signal(signal.SIGTERM)
             await old.wait_for_line(b"stopping")
-            assert await soon(idle.reader.read()) == b""  # idle, so it is closed
+            assert await with_timeout(idle.reader.read()) == b""  # idle, so it is closed
             for n in range(20):  # the new process accepts all of these
                 client = await Client.connect(address)
-                client.ask(b"x%d" % n)
-                assert await client.answer() == b"x%d" % n
+                client.send_request(b"x%d" % n)
+                assert await client.read_answer() == b"x%d" % n
                 client.writer.close()
             assert await new.metric("handled.read.passed") == 20
             release.set()
-            assert await busy.answer() == b"held"
-            assert await soon(busy.reader.read()) == b""
-            assert await soon(old.process.wait()) == 0
+            assert await busy.read_answer() == b"held"
+            assert await with_timeout(busy.reader.read()) == b""
+            assert await with_timeout(old.process.wait()) == 0
             await new.wait_for_line(b"has ended")
             await new.stop()
         for server in (host.server, counter.server, discovery.server):
@@ -171,11 +182,11 @@
 )
 def test_process_starts_without_state_if_state_file_is_unusable(tmp_path: Path, state: bytes) -> None:
     async def main() -> None:
-        host = await Peer(lambda words: served()).start()
+        host = await RespServer(lambda words: success_answer()).start()
         (tmp_path / "run").mkdir()
         (tmp_path / "run" / STATE_FILE).write_bytes(state)
         with socket.create_server(("127.0.0.1", 0)) as listener:
-            known = {"seq": 1, "whole": True, "hosts": [entry("h", host.dial)]}
+            known = {"seq": 1, "whole": True, "hosts": [host_entry("h", host.dial)]}
             gateway = await GatewayProcess(
                 tmp_path, listener, counter="127.0.0.1:1", discovery="127.0.0.1:1", known=known
             ).start()
@@ -222,50 +233,50 @@
     run(main())
 
 
-def _two_drives() -> tuple[Drive, Drive]:
+def _two_drives() -> tuple[GatewayDriver, GatewayDriver]:
     config = settings(plans=(replace(PLAN, rate=0.0, burst=0.0, parallel=3),))
-    return Drive(config), Drive(config)
+    return GatewayDriver(config), GatewayDriver(config)
 
 
 def test_two_processes_of_one_gateway_share_slots_of_a_customer() -> None:
     total, sent = 0.0, 0
     old, new = _two_drives()
-    for drive in (old, new):
-        drive.feed(it.ProcessOverlap(True))
-    for drive in (old, new, old, new, new):
-        calls = of(drive.arrive(time_limit_ms=500.0)[1], it.Count)
+    for driver in (old, new):
+        driver.handle(it.ProcessOverlap(True))
+    for driver in (old, new, old, new, new):
+        calls = of_type(driver.start_request(time_limit_ms=500.0)[1], it.Count)
         while calls:
             call = calls.pop(0)
             total += call.amount
-            actions = drive.count(call, total)
-            sent += len(of(actions, it.Send))
-            calls += of(actions, it.Count)
+            actions = driver.answer_count(call, total)
+            sent += len(of_type(actions, it.Send))
+            calls += of_type(actions, it.Count)
     assert sent == 3
-    open_attempts = old.gate.customers[1].open_attempts, new.gate.customers[1].open_attempts
+    open_attempts = old.gateway.customers[1].open_attempts, new.gateway.customers[1].open_attempts
     assert sum(open_attempts) == 3 and all(open_attempts)
 
 
 def test_successor_restores_quotas_suspects_and_answer_times_and_waits_for_host_list() -> None:
-    old, new = Drive(settings(), fleet=3), Drive(settings(), fleet=3)
-    number, actions = old.arrive(customer=7)
+    old, new = GatewayDriver(settings(), host_count=3), GatewayDriver(settings(), host_count=3)
+    number, actions = old.start_request(customer=7)
     total = 0.0
-    for call in of(actions, it.Count):
+    for call in of_type(actions, it.Count):
         total += call.amount + 5.0
-        actions = old.count(call, total)
-    assert of(actions, it.Send)
-    suspect = old.gate.hosts[2]
+        actions = old.answer_count(call, total)
+    assert of_type(actions, it.Send)
+    suspect = old.gateway.hosts[2]
     suspect.failures, suspect.failing_since = 2, old.now
-    state = json.loads(json.dumps(save_state(old.gate)))
-    restore_state(new.gate, new.now, state)
-    assert new.gate.customers[7].level == old.gate.customers[7].level
-    assert new.gate.customers[7].total_window == old.gate.customers[7].total_window
-    assert new.gate.skipped_count() == 1
-    assert not new.gate.is_ready(new.now)  # its host list may be outdated
-    assert new.gate.is_ready(new.now + 1000.0)
-    new.feed(
+    state = json.loads(json.dumps(save_state(old.gateway)))
+    restore_state(new.gateway, new.now, state)
+    assert new.gateway.customers[7].level == old.gateway.customers[7].level
+    assert new.gateway.customers[7].total_window == old.gateway.customers[7].total_window
+    assert new.gateway.skipped_count() == 1
+    assert not new.gateway.is_ready(new.now)  # its host list may be outdated
+    assert new.gateway.is_ready(new.now + 1000.0)
+    new.handle(
         it.HostList(it.ListKind.FULL, tuple(it.HostEntry(n + 1, 0, 0, it.HostState.READY) for n in range(3)))
     )
-    assert new.gate.is_ready(new.now)
+    assert new.gateway.is_ready(new.now)
 
 
 @pytest.mark.parametrize(
@@ -284,21 +295,21 @@
     ],
 )
 def test_malformed_state_changes_nothing(change: dict[str, Any]) -> None:
-    drive = Drive(settings(), fleet=3)
-    before = dict[str, Any](save_state(drive.gate))
+    driver = GatewayDriver(settings(), host_count=3)
+    before = dict[str, Any](save_state(driver.gateway))
     with pytest.raises(StateMismatch):
-        restore_state(drive.gate, drive.now, before | change)
-    assert save_state(drive.gate) == before and drive.gate.is_ready(drive.now)
+        restore_state(driver.gateway, driver.now, before | change)
+    assert save_state(driver.gateway) == before and driver.gateway.is_ready(driver.now)
 
 
 def test_unreported_units_are_reported_to_counter_at_shutdown() -> None:
-    drive = Drive(settings())
-    _, actions = drive.arrive()
-    while calls := of(actions, it.Count):
-        actions = drive.count(calls[0], 24.0)
-    customer = drive.gate.customers[1]
+    driver = GatewayDriver(settings())
+    _, actions = driver.start_request()
+    while calls := of_type(actions, it.Count):
+        actions = driver.answer_count(calls[0], 24.0)
+    customer = driver.gateway.customers[1]
     customer.unreported = 3.0
-    assert [call.amount for call in of(drive.feed(it.ShuttingDown()), it.Count)] == [3.0]
+    assert [call.amount for call in of_type(driver.handle(it.ShuttingDown()), it.Count)] == [3.0]
 
 
 STEPPED_CLOCK = """
@@ -316,13 +327,16 @@
     """The wall clock is set forward by an hour between their starts, and back by two while both run."""
 
     async def main() -> None:
-        host, counter = await Peer(lambda words: served()).start(), await Peer(Totals()).start()
+        host, counter = (
+            await RespServer(lambda words: success_answer()).start(),
+            await RespServer(CounterHandler()).start(),
+        )
         (tmp_path / "sitecustomize.py").write_text(STEPPED_CLOCK)
         (tmp_path / "offset").write_text("0")
         clock = {"PYTHONPATH": str(tmp_path), "CLOCK_OFFSET_FILE": str(tmp_path / "offset")}
         changes: dict[str, Any] = {
             "counter": counter.dial,
-            "known": {"seq": 1, "whole": True, "hosts": [entry("h", host.dial)]},
+            "known": {"seq": 1, "whole": True, "hosts": [host_entry("h", host.dial)]},
             "discovery": "127.0.0.1:1",
         }
 
@@ -331,10 +345,10 @@
             while not counter.commands.empty():
                 counter.commands.get_nowait()  # of the request before
             client = await Client.connect(gateway.listener.getsockname())
-            client.ask(b"1")
-            assert await client.answer() == b"value"
+            client.send_request(b"1")
+            assert await client.read_answer() == b"value"
             client.writer.close()
-            return int((await soon(counter.commands.get()))[1]) % (1 << 30)
+            return int((await with_timeout(counter.commands.get()))[1]) % (1 << 30)
 
         with socket.create_server(("127.0.0.1", 0)) as listener:
             old = await GatewayProcess(tmp_path, listener, environment=clock, **changes).start()
@@ -345,7 +359,7 @@
             (tmp_path / "offset").write_text("-3600")
             await asyncio.sleep(2 * POLL_S)
             old.process.send_signal(signal.SIGTERM)
-            assert await soon(old.process.wait()) == 0
+            assert await with_timeout(old.process.wait()) == 0
             assert abs(await window(new) - first_window) < 100  # of 3 s each
             await new.stop()
         for server in (host.server, counter.server):
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -15,7 +15,7 @@
 
 from rainturn import interface as it
 from rainturn.decisions import Gateway
-from tests.helpers import LIMITS, Drive, of, settings
+from tests.helpers import LIMITS, GatewayDriver, of_type, settings
 
 NEVER_RAN = (it.Outcome.FULL, it.Outcome.UNREACHABLE, it.Outcome.NOT_SENT)
 CEILING_PLAN = it.Plan(price=1, rate=50, burst=50, ceiling_rate=5, ceiling_burst=10, ceiling_slack=1)
@@ -292,21 +292,21 @@
     config = settings(plans=(plan,), counter=False, gateways=1)
     level, filled_at, now = plan.ceiling_burst, 100_000.0, 100_000.0
 
-    def send_burst(drive: Drive, requests: int) -> None:
+    def send_burst(driver: GatewayDriver, requests: int) -> None:
         """Send requests at once; each one that is sent on takes a unit from the bucket."""
         nonlocal level, filled_at
-        level = min(plan.ceiling_burst, level + plan.ceiling_rate * (drive.now - filled_at) / 1000)
-        filled_at = drive.now
+        level = min(plan.ceiling_burst, level + plan.ceiling_rate * (driver.now - filled_at) / 1000)
+        filled_at = driver.now
         for _ in range(requests):
-            level -= len(of(drive.arrive(spread=1.0)[1], it.Send))
+            level -= len(of_type(driver.start_request(spread=1.0)[1], it.Send))
         assert level >= -plan.ceiling_slack
 
-    drive = Drive(config, now=now)
-    send_burst(drive, 1)
-    drive.run_for(10_000)  # the gateway's share of the bucket refills
-    send_burst(drive, 20)
+    driver = GatewayDriver(config, now=now)
+    send_burst(driver, 1)
+    driver.advance_clock(10_000)  # the gateway's share of the bucket refills
+    send_burst(driver, 20)
     for _ in range(5):
-        drive = Drive(config, now=drive.now + 50.0)
-        send_burst(drive, 20)
-    drive.run_for(2000)
-    send_burst(drive, 20)
+        driver = GatewayDriver(config, now=driver.now + 50.0)
+        send_burst(driver, 20)
+    driver.advance_clock(2000)
+    send_burst(driver, 20)
--- a/tests/test_standing_clients.py
+++ b/tests/test_standing_clients.py
@@ -16,16 +16,26 @@
 from rainturn.node import client_timeouts
 from rainturn.node.gateway import Attempt, Request
 from rainturn.node.resp import pack
-from tests.sockets import WIRE, Client, Held, World, run, served, soon
+from tests.sockets import (
+    DEFAULT_SETTINGS,
+    BlockingHandler,
+    Client,
+    GatewaySetup,
+    run,
+    success_answer,
+    with_timeout,
+)
 from tests.test_node_size import ScriptedHost
 
 CUSTOMER = b"00000000b4d65521"
 PING = pack([b"PING"])
 NO_QUOTA: dict[str, Any] = {  # no counter either: its connections would change the number of descriptors
-    "plans": [WIRE["plans"][0] | {"per_second": 0, "peak_units": 0}],
-    "family_info": WIRE["family_info"] | {"may_count": False},
+    "plans": [DEFAULT_SETTINGS["plans"][0] | {"per_second": 0, "peak_units": 0}],
+    "family_info": DEFAULT_SETTINGS["family_info"] | {"may_count": False},
 }
-ONE_UNIT_QUOTA = {"plans": [WIRE["plans"][0] | {"per_second": 0.001, "peak_units": 1}]}  # hardly refilled
+ONE_UNIT_QUOTA = {
+    "plans": [DEFAULT_SETTINGS["plans"][0] | {"per_second": 0.001, "peak_units": 1}]
+}  # hardly refilled
 
 
 def _encode_read(request_id: bytes, deadline_ms: int = 5000) -> bytes:
@@ -50,17 +60,17 @@
     return sum(type(candidate) in (Request, Attempt) for candidate in gc.get_objects())
 
 
-async def _close_clients(world: World, *clients: Client) -> None:
+async def _close_clients(setup: GatewaySetup, *clients: Client) -> None:
     for client in clients:
         client.writer.close()
-    await world.emptied()
+    await setup.wait_until_idle()
 
 
 @pytest.mark.parametrize("body", [None, b"body", bytes(500)])
 def test_commands_that_arrive_byte_by_byte_are_served(body: bytes | None) -> None:
     async def main() -> None:
-        async with World(lambda words: served(words[2])) as world:
-            client = await world.client()
+        async with GatewaySetup(lambda words: success_answer(words[2])) as setup:
+            client = await setup.client()
             client.writer.get_extra_info("socket").setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
             commands = [
                 _encode_read(b"%d" % n) if body is None else _encode_pay(b"%d" % n, body) for n in range(3)
@@ -68,8 +78,8 @@
             for byte in PING.join(commands):
                 client.writer.write(bytes([byte]))
                 await asyncio.sleep(0)
-            assert [await client.answer() for _ in range(5)] == [b"0", b"PONG", b"1", b"PONG", b"2"]
-            await _close_clients(world, client)
+            assert [await client.read_answer() for _ in range(5)] == [b"0", b"PONG", b"1", b"PONG", b"2"]
+            await _close_clients(setup, client)
 
     run(main())
 
@@ -78,13 +88,13 @@
     monkeypatch.setattr(client_timeouts, "BODY_STALL_TIMEOUT_S", 1.0)
 
     async def main() -> None:
-        async with World(lambda words: served(words[4])) as world:
-            client, command = await world.client(), _encode_pay(b"1", bytes(600))
+        async with GatewaySetup(lambda words: success_answer(words[4])) as setup:
+            client, command = await setup.client(), _encode_pay(b"1", bytes(600))
             for offset in range(0, len(command), 50):
                 client.writer.write(command[offset : offset + 50])
                 await asyncio.sleep(0.1)
-            assert await client.answer() == bytes(600)
-            await _close_clients(world, client)
+            assert await client.read_answer() == bytes(600)
+            await _close_clients(setup, client)
 
     run(main())
 
@@ -94,14 +104,14 @@
     monkeypatch.setattr(client_timeouts, "COMMAND_TIMEOUT_S", 1.0)
 
     async def main() -> None:
-        async with World(lambda words: served(words[2])) as world:
-            client = await world.client()
+        async with GatewaySetup(lambda words: success_answer(words[2])) as setup:
+            client = await setup.client()
             client.writer.write(_encode_read(b"0")[:50])
             for n in range(15):
                 await asyncio.sleep(0.1)
                 client.writer.write(_encode_read(b"%d" % n)[50:] + _encode_read(b"%d" % (n + 1))[:50])
-                assert await client.answer() == b"%d" % n
-            await _close_clients(world, client)
+                assert await client.read_answer() == b"%d" % n
+            await _close_clients(setup, client)
 
     run(main())
 
@@ -111,53 +121,53 @@
     """All commands arrive in one read, and the first is answered immediately while connections drain."""
 
     async def main() -> None:
-        async with World(lambda words: served(), wire=ONE_UNIT_QUOTA) as world:
-            client = await world.client()
-            client.ask(b"0")  # uses up the quota
-            assert await client.answer() == b"value"
+        async with GatewaySetup(lambda words: success_answer(), settings=ONE_UNIT_QUOTA) as setup:
+            client = await setup.client()
+            client.send_request(b"0")  # uses up the quota
+            assert await client.read_answer() == b"value"
             _write_at_once(client, first + PING + _encode_read(b"2"))
-            world.parts.clients.drain()
-            answers = [str(await client.answer()) for _ in range(3)]
+            setup.parts.clients.drain()
+            answers = [str(await client.read_answer()) for _ in range(3)]
             assert answers[0] != "value" and answers[1] == "b'PONG'" and answers[2].startswith("-BUSY")
-            assert await soon(client.reader.read()) == b""
-            await world.emptied()
+            assert await with_timeout(client.reader.read()) == b""
+            await setup.wait_until_idle()
 
     run(main())
 
 
 def test_a_partly_received_command_is_served_before_a_draining_connection_closes() -> None:
     async def main() -> None:
-        async with World(held := Held()) as world:
-            client, command = await world.client(), _encode_read(b"2")
+        async with GatewaySetup(held := BlockingHandler()) as setup:
+            client, command = await setup.client(), _encode_read(b"2")
             client.writer.write(_encode_read(b"1") + command[:30])
-            await soon(world.hosts[0].commands.get())
-            world.parts.clients.drain()
+            await with_timeout(setup.hosts[0].commands.get())
+            setup.parts.clients.drain()
             held.released.set()
-            assert await client.answer() == b"value"
+            assert await client.read_answer() == b"value"
             client.writer.write(command[30:])
-            assert await client.answer() == b"value"
-            assert await soon(client.reader.read()) == b""
-            await world.emptied()
+            assert await client.read_answer() == b"value"
+            assert await with_timeout(client.reader.read()) == b""
+            await setup.wait_until_idle()
 
     run(main())
 
 
 def test_a_client_with_a_partly_received_command_is_not_evicted_for_a_new_one() -> None:
     async def main() -> None:
-        async with World(lambda words: served(words[2])) as world:
-            world.parts.clients.budget = 1
-            client, command = await world.client(), _encode_read(b"2")
+        async with GatewaySetup(lambda words: success_answer(words[2])) as setup:
+            setup.parts.clients.budget = 1
+            client, command = await setup.client(), _encode_read(b"2")
             client.writer.write(_encode_read(b"1") + command[:30])
-            assert await client.answer() == b"1"
-            other = await world.client()
-            other.ask(b"3")
+            assert await client.read_answer() == b"1"
+            other = await setup.client()
+            other.send_request(b"3")
             for _ in range(20):
                 await asyncio.sleep(0)
             client.writer.write(command[30:])
-            assert await client.answer() == b"2"
-            assert await other.answer() == b"3"  # the first client is idle now and is evicted
-            assert await soon(client.reader.read()) == b""
-            await _close_clients(world, other)
+            assert await client.read_answer() == b"2"
+            assert await other.read_answer() == b"3"  # the first client is idle now and is evicted
+            assert await with_timeout(client.reader.read()) == b""
+            await _close_clients(setup, other)
 
     run(main())
 
@@ -166,12 +176,12 @@
     """The request arrives after the last check for unread bytes, so that the close resets the connection."""
 
     async def main() -> None:
-        async with World(held := Held()) as world:
-            client = await world.client()
-            client.ask(b"1")
-            await soon(world.hosts[0].commands.get())
-            world.parts.clients.drain()
-            (connection,) = world.parts.clients.connections
+        async with GatewaySetup(held := BlockingHandler()) as setup:
+            client = await setup.client()
+            client.send_request(b"1")
+            await with_timeout(setup.hosts[0].commands.get())
+            setup.parts.clients.drain()
+            (connection,) = setup.parts.clients.connections
             close = connection.close_if_idle
 
             def close_then_write() -> None:
@@ -179,13 +189,13 @@
                 _write_at_once(client, _encode_read(b"2"))
 
             connection.close_if_idle = close_then_write  # type: ignore[method-assign]
-            last_number = world.parts.node.last_request_number
+            last_number = setup.parts.node.last_request_number
             held.released.set()
-            assert await client.answer() == b"value"
+            assert await client.read_answer() == b"value"
             with contextlib.suppress(ConnectionError):
-                assert await soon(client.reader.read()) == b""
-            await world.emptied()
-            assert world.hosts[0].commands.empty() and world.parts.node.last_request_number == last_number
+                assert await with_timeout(client.reader.read()) == b""
+            await setup.wait_until_idle()
+            assert setup.hosts[0].commands.empty() and setup.parts.node.last_request_number == last_number
 
     run(main())
 
@@ -197,12 +207,12 @@
     """Holds for known and new clients. A late event loop checks time limits before it reads sockets."""
 
     async def main() -> None:
-        async with World(lambda words: served()) as world:
-            client = await world.client()
+        async with GatewaySetup(lambda words: success_answer()) as setup:
+            client = await setup.client()
             if is_known:
                 client.send(b"PING")
-                assert await client.answer() == b"PONG"
-            timeouts = world.parts.clients.timeouts
+                assert await client.read_answer() == b"PONG"
+            timeouts = setup.parts.clients.timeouts
             while not (timeouts.idle if is_known else timeouts.awaiting_valid_command):
                 await asyncio.sleep(0)
             _write_at_once(client, _encode_read(b"1"))
@@ -210,8 +220,8 @@
             timeouts.valid_command_timeout_s = -1.0
             timeouts._sweep()
             monkeypatch.undo()
-            assert await client.answer() == b"value"
-            await _close_clients(world, client)
+            assert await client.read_answer() == b"value"
+            await _close_clients(setup, client)
 
     run(main())
 
@@ -220,26 +230,26 @@
     """The value arrives from its host in one read, and none of it has been written to the client yet."""
 
     async def main() -> None:
-        async with World(lambda words: served()) as world:
+        async with GatewaySetup(lambda words: success_answer()) as setup:
             scripted_host = await ScriptedHost().start()
-            world.parts.pools.pools[1].address = scripted_host.server.sockets[0].getsockname()
-            client = await world.client()
-            client.ask(b"1")
-            _, first = await scripted_host.next(world)
-            client.ask(b"2")
-            _, second = await scripted_host.next(world)
-            while len(world.parts.node.requests) < 2 or not world.parts.pools.pools[1].connections:
+            setup.parts.pools.pools[1].address = scripted_host.server.sockets[0].getsockname()
+            client = await setup.client()
+            client.send_request(b"1")
+            _, first = await scripted_host.next(setup)
+            client.send_request(b"2")
+            _, second = await scripted_host.next(setup)
+            while len(setup.parts.node.requests) < 2 or not setup.parts.pools.pools[1].connections:
                 await asyncio.sleep(0)
-            malformed = served(bytes(70_000)).replace(b"$70000", b"$69990")
+            malformed = success_answer(bytes(70_000)).replace(b"$70000", b"$69990")
             assert os.write(second.get_extra_info("socket").fileno(), malformed) == len(malformed)
-            while len(world.parts.node.requests) > 1:
+            while len(setup.parts.node.requests) > 1:
                 await asyncio.sleep(0.001)
-            first.write(served())
-            assert await client.answer() == b"value"
-            assert await client.answer() == "-ERR failed"
+            first.write(success_answer())
+            assert await client.read_answer() == b"value"
+            assert await client.read_answer() == "-ERR failed"
             client.send(b"PING")
-            assert await client.answer() == b"PONG"
-            await _close_clients(world, client)
+            assert await client.read_answer() == b"PONG"
+            await _close_clients(setup, client)
             scripted_host.server.close()
 
     run(main())
@@ -269,13 +279,13 @@
 ) -> None:
     async def main() -> None:
         objects_before = _count_live_objects()
-        async with World(*[lambda words: served()] * 2, wire=NO_QUOTA) as world:
-            other = await world.client()
-            other.ask(b"before")
-            assert await other.answer() == b"value"
+        async with GatewaySetup(*[lambda words: success_answer()] * 2, settings=NO_QUOTA) as setup:
+            other = await setup.client()
+            other.send_request(b"before")
+            assert await other.read_answer() == b"value"
             descriptors_before = len(os.listdir("/proc/self/fd"))
             for _ in range(2):
-                sock = socket.create_connection(world.address)
+                sock = socket.create_connection(setup.address)
                 sock.setblocking(False)
                 rest = memoryview(FLOODS[flood])
                 with contextlib.suppress(ConnectionError):
@@ -284,12 +294,12 @@
                             rest = rest[sock.send(rest) :]
                         await asyncio.sleep(0)
                 _disconnect(sock, how)
-            other.ask(b"after")
-            assert await other.answer() == b"value"
-            while len(world.parts.clients.connections) > 1:
+            other.send_request(b"after")
+            assert await other.read_answer() == b"value"
+            while len(setup.parts.clients.connections) > 1:
                 await asyncio.sleep(0.01)
-            await _close_clients(world, other)
-            for pool in world.parts.pools.pools.values():
+            await _close_clients(setup, other)
+            for pool in setup.parts.pools.pools.values():
                 pool.close_idle()
             while len(os.listdir("/proc/self/fd")) > descriptors_before:
                 await asyncio.sleep(0.01)
@@ -303,10 +313,10 @@
     """Every command is answered immediately, so that the limit on open requests never pauses reading."""
 
     async def main() -> None:
-        async with World(lambda words: served(), wire=ONE_UNIT_QUOTA) as world:
-            node, client = world.parts.node, await world.client()
-            client.ask(b"first")
-            assert await client.answer() == b"value"
+        async with GatewaySetup(lambda words: success_answer(), settings=ONE_UNIT_QUOTA) as setup:
+            node, client = setup.parts.node, await setup.client()
+            client.send_request(b"first")
+            assert await client.read_answer() == b"value"
             iterations, iteration = list[int](), 0
             handle, ready = node.decision_module.handle, node.is_ready
 
@@ -330,9 +340,9 @@
                 await asyncio.sleep(0)
                 iteration += 1
             for _ in range(count):
-                assert str(await client.answer()) == "b'PONG'" if flood == "pings" else "-BUSY"
+                assert str(await client.read_answer()) == "b'PONG'" if flood == "pings" else "-BUSY"
             assert max(iterations.count(n) for n in set(iterations)) <= 128  # buffered and newly read ones
-            await _close_clients(world, client)
+            await _close_clients(setup, client)
 
     run(main())
 
@@ -340,20 +350,20 @@
 @pytest.mark.parametrize("how", ["close", "reset"])
 def test_clients_that_disconnect_while_being_accepted_leave_no_state(how: str) -> None:
     async def main() -> None:
-        async with World(lambda words: served(), wire=NO_QUOTA) as world:
+        async with GatewaySetup(lambda words: success_answer(), settings=NO_QUOTA) as setup:
             descriptors_before = len(os.listdir("/proc/self/fd"))
             for n in range(60):
-                sock = socket.create_connection(world.address)
+                sock = socket.create_connection(setup.address)
                 if n % 2:
                     sock.send(_encode_read(b"%d" % n))
                 _disconnect(sock, how)
                 if n % 3 == 0:
                     await asyncio.sleep(0)
-            client = await world.client()
-            client.ask(b"1")
-            assert await client.answer() == b"value"
-            await _close_clients(world, client)
-            world.parts.pools.close_idle()
+            client = await setup.client()
+            client.send_request(b"1")
+            assert await client.read_answer() == b"value"
+            await _close_clients(setup, client)
+            setup.parts.pools.close_idle()
             while len(os.listdir("/proc/self/fd")) > descriptors_before:
                 await asyncio.sleep(0.01)
 
@@ -364,8 +374,8 @@
     """Some systems report the aborted connection as an error of accept."""
 
     async def main() -> None:
-        async with World(lambda words: served()) as world:
-            listener: Any = world.parts.clients.listener
+        async with GatewaySetup(lambda words: success_answer()) as setup:
+            listener: Any = setup.parts.clients.listener
 
             class AbortedOnce:
                 failed = False
@@ -379,13 +389,13 @@
                 def __getattr__(self, name: str) -> Any:
                     return getattr(listener, name)
 
-            sock = socket.create_connection(world.address)
+            sock = socket.create_connection(setup.address)
             sock.send(PING)
-            world.parts.clients.listener = AbortedOnce()  # type: ignore[assignment]
-            await world.parts.clients.stop(True)
+            setup.parts.clients.listener = AbortedOnce()  # type: ignore[assignment]
+            await setup.parts.clients.stop(True)
             client = Client(*await asyncio.open_connection(sock=sock))
-            assert await client.answer() == b"PONG"
-            await _close_clients(world, client)
+            assert await client.read_answer() == b"PONG"
+            await _close_clients(setup, client)
 
     run(main())
 
@@ -394,20 +404,20 @@
     """The budget of connections is used up, and the client that was idle for longest has sent a request."""
 
     async def main() -> None:
-        async with World(lambda words: served(words[2])) as world:
-            world.parts.clients.budget = 2
-            first, second = await world.client(), await world.client()
+        async with GatewaySetup(lambda words: success_answer(words[2])) as setup:
+            setup.parts.clients.budget = 2
+            first, second = await setup.client(), await setup.client()
             for client in (first, second):
                 client.send(b"PING")
-                assert await client.answer() == b"PONG"
-            sock = socket.create_connection(world.address)
+                assert await client.read_answer() == b"PONG"
+            sock = socket.create_connection(setup.address)
             _write_at_once(first, _encode_read(b"1"))
-            world.parts.clients._accept_batch()
-            assert await first.answer() == b"1"
-            assert await soon(second.reader.read()) == b""
+            setup.parts.clients._accept_batch()
+            assert await first.read_answer() == b"1"
+            assert await with_timeout(second.reader.read()) == b""
             third = Client(*await asyncio.open_connection(sock=sock))
-            third.ask(b"3")
-            assert await third.answer() == b"3"
-            await _close_clients(world, first, third)
+            third.send_request(b"3")
+            assert await third.read_answer() == b"3"
+            await _close_clients(setup, first, third)
 
     run(main())
--- a/tests/test_standing_hosts.py
+++ b/tests/test_standing_hosts.py
@@ -10,7 +10,16 @@
 
 from rainturn.node import host_connection
 from rainturn.node.gateway import Attempt, Request
-from tests.sockets import WIRE, End, Peer, World, entry, reset, run, served
+from tests.sockets import (
+    DEFAULT_SETTINGS,
+    ConnectionEnd,
+    GatewaySetup,
+    RespServer,
+    host_entry,
+    reset,
+    run,
+    success_answer,
+)
 
 
 def _count_live_objects() -> int:
@@ -22,19 +31,19 @@
 class PartialAnswers:
     """Handlers that send part of an answer to the first command of each id and break; others are answered."""
 
-    def __init__(self, part: bytes, end: End) -> None:
+    def __init__(self, part: bytes, end: ConnectionEnd) -> None:
         self.part, self.end, self.seen = part, end, set[bytes]()
-        self.peers: list[Peer] = []
+        self.peers: list[RespServer] = []
 
     def handler_for(self, number: int) -> Any:
         async def handle(words: list[bytes]) -> bytes | None:
             if words[2] in self.seen:
-                return served()
+                return success_answer()
             self.seen.add(words[2])
             writer = await self.peers[number].connected.get()
             writer.write(self.part)
             await writer.drain()
-            if self.end is End.RESET:
+            if self.end is ConnectionEnd.RESET:
                 reset(writer)
             else:
                 writer.close()
@@ -43,24 +52,24 @@
         return handle
 
 
-@pytest.mark.parametrize("end", list(End))
+@pytest.mark.parametrize("end", list(ConnectionEnd))
 @pytest.mark.parametrize("part", [b"*", b"*3\r\n$5\r\nval", b"*3\r\n$5\r\nvalue\r", b"-BUS", b"-BUSY\r", b""])
-def test_a_request_with_a_partial_answer_before_a_break_may_have_run(part: bytes, end: End) -> None:
+def test_a_request_with_a_partial_answer_before_a_break_may_have_run(part: bytes, end: ConnectionEnd) -> None:
     """A safe request is repeated at another host; a request that must not run twice fails."""
 
     async def main() -> None:
         before = _count_live_objects()
         partial = PartialAnswers(part, end)
-        async with World(partial.handler_for(0), partial.handler_for(1)) as world:
-            partial.peers = world.hosts
-            client = await world.client()
-            client.ask(b"safe")
-            assert await client.answer() == b"value"
-            client.ask(b"once", b"pay", body=b"x")
-            assert await client.answer() == "-ERR failed"
-            assert sum(host.commands.qsize() for host in world.hosts) == 3
+        async with GatewaySetup(partial.handler_for(0), partial.handler_for(1)) as setup:
+            partial.peers = setup.hosts
+            client = await setup.client()
+            client.send_request(b"safe")
+            assert await client.read_answer() == b"value"
+            client.send_request(b"once", b"pay", body=b"x")
+            assert await client.read_answer() == "-ERR failed"
+            assert sum(host.commands.qsize() for host in setup.hosts) == 3
             client.writer.close()
-            await world.emptied()
+            await setup.wait_until_idle()
             assert _count_live_objects() <= before
 
     run(main())
@@ -71,7 +80,7 @@
 
     async def main() -> None:
         async def send_slowly(words: list[bytes]) -> bytes | None:
-            writer = await world.hosts[0].connected.get()
+            writer = await setup.hosts[0].connected.get()
             writer.write(b"*3\r\n$60000\r\n")
             while not writer.is_closing():
                 writer.write(b"x")
@@ -79,16 +88,16 @@
             return None
 
         before = _count_live_objects()
-        async with World(send_slowly) as world:
-            client, other = await world.client(), await world.client()
-            client.ask(b"1", wait=600)
-            other.ask(b"2", b"pay", wait=600, body=b"x")
-            assert str(await client.answer()).startswith("-BUSY")  # safe, and all hosts were tried
-            assert await other.answer() == "-ERR failed"
+        async with GatewaySetup(send_slowly) as setup:
+            client, other = await setup.client(), await setup.client()
+            client.send_request(b"1", time_limit_ms=600)
+            other.send_request(b"2", b"pay", time_limit_ms=600, body=b"x")
+            assert str(await client.read_answer()).startswith("-BUSY")  # safe, and all hosts were tried
+            assert await other.read_answer() == "-ERR failed"
             for connection in (client, other):
                 connection.writer.close()
-            await world.emptied()
-            assert _count_live_objects() <= before and not world.parts.pools.open_connections
+            await setup.wait_until_idle()
+            assert _count_live_objects() <= before and not setup.parts.pools.open_connections
 
     run(main())
 
@@ -100,20 +109,20 @@
 
     async def main() -> None:
         async def send_slowly(words: list[bytes]) -> bytes | None:
-            writer = await world.hosts[0].connected.get()
+            writer = await setup.hosts[0].connected.get()
             writer.write(b"*3\r\n$5\r\nvalue\r\n$60000\r\n")
             while not writer.is_closing():
                 writer.write(b"x")
                 await asyncio.sleep(0.02)
             return None
 
-        async with World(send_slowly) as world:
-            client = await world.client()
-            client.ask(b"1")
-            assert await client.answer() == b"value"
+        async with GatewaySetup(send_slowly) as setup:
+            client = await setup.client()
+            client.send_request(b"1")
+            assert await client.read_answer() == b"value"
             client.writer.close()
-            await world.emptied()
-            assert not world.parts.pools.open_connections
+            await setup.wait_until_idle()
+            assert not setup.parts.pools.open_connections
 
     run(main())
 
@@ -124,24 +133,24 @@
 
     async def main() -> None:
         window = 300 if over else 5000
-        classes = [one | {"window_ms": window, "group": "all"} for one in WIRE["classes"]]
+        classes = [one | {"window_ms": window, "group": "all"} for one in DEFAULT_SETTINGS["classes"]]
         first = asyncio.Event()
 
         async def handler(words: list[bytes]) -> bytes:
             if first.is_set():
-                return served()
+                return success_answer()
             first.set()
             await asyncio.sleep(0.5 if over else 0)
-            return Peer.RESET
+            return RespServer.RESET
 
-        async with World(handler, handler, wire={"classes": classes}) as world:
-            client = await world.client()
-            client.ask(b"1", b"send", extra=b"k=77,", body=b"x")
-            answer = await client.answer()
+        async with GatewaySetup(handler, handler, settings={"classes": classes}) as setup:
+            client = await setup.client()
+            client.send_request(b"1", b"send", extra_fields=b"k=77,", body=b"x")
+            answer = await client.read_answer()
             assert answer == ("-ERR failed" if over else b"value")  # over: a repeat would run a second time
-            assert sum(host.commands.qsize() for host in world.hosts) == (1 if over else 2)
+            assert sum(host.commands.qsize() for host in setup.hosts) == (1 if over else 2)
             client.writer.close()
-            await world.emptied()
+            await setup.wait_until_idle()
 
     run(main())
 
@@ -149,20 +158,20 @@
 def test_every_request_gets_an_answer_in_time_although_no_host_answers() -> None:
     async def main() -> None:
         before = _count_live_objects()
-        async with World(*[lambda words: None] * 3) as world:
+        async with GatewaySetup(*[lambda words: None] * 3) as setup:
             kinds: list[tuple[bytes, bytes]] = [(b"read", b""), (b"send", b"k=%d,"), (b"pay", b"")]
-            clients = [await world.client() for _ in range(10)]
+            clients = [await setup.client() for _ in range(10)]
             for number, client in enumerate(clients):
                 for kind, key in kinds:
                     ident = b"%d%s" % (number, kind)
                     extra = key % number if key else b""
-                    client.ask(ident, kind, 1000, extra, None if kind == b"read" else b"x")
+                    client.send_request(ident, kind, 1000, extra, None if kind == b"read" else b"x")
             for client in clients:
-                read, send, pay = [str(await client.answer()) for _ in kinds]
+                read, send, pay = [str(await client.read_answer()) for _ in kinds]
                 assert read.startswith("-BUSY") and send == pay == "-ERR failed"
             for client in clients:
                 client.writer.close()
-            await world.emptied()
+            await setup.wait_until_idle()
             assert _count_live_objects() <= before
 
     run(main())
@@ -171,17 +180,17 @@
 @pytest.mark.parametrize("dial", ["x" * 70 + ":80", "a..b:80"])
 def test_an_invalid_host_address_is_unreachable_at_once(dial: str, caplog: pytest.LogCaptureFixture) -> None:
     async def main() -> None:
-        async with World(lambda words: served()) as world:
-            hosts = [entry("odd", dial), entry("h0", world.hosts[0].dial)]
-            world.parts.discovery.apply({"seq": 9, "whole": True, "hosts": hosts})
-            client, loop = await world.client(), asyncio.get_running_loop()
+        async with GatewaySetup(lambda words: success_answer()) as setup:
+            hosts = [host_entry("odd", dial), host_entry("h0", setup.hosts[0].dial)]
+            setup.parts.discovery.apply({"seq": 9, "whole": True, "hosts": hosts})
+            client, loop = await setup.client(), asyncio.get_running_loop()
             started_at = loop.time()
             for n in range(30):
-                client.ask(b"%d" % n)
+                client.send_request(b"%d" % n)
             for _ in range(30):
-                assert await client.answer() == b"value"
+                assert await client.read_answer() == b"value"
             assert loop.time() - started_at < 3.0  # each request has 5 s
-            assert world.hosts[0].commands.qsize() == 30
+            assert setup.hosts[0].commands.qsize() == 30
 
     run(main())
     assert not [record for record in caplog.records if record.exc_info]
--- a/tests/test_standing_process.py
+++ b/tests/test_standing_process.py
@@ -16,11 +16,22 @@
 from rainturn.node import counter as counter_module
 from rainturn.node.resp import pack
 from rainturn.node.shutdown import shut_down
-from tests.program import descriptors, program
-from tests.sockets import WIRE, Client, Discovery, Peer, Totals, World, entry, run, served, soon
+from tests.program import open_descriptors, running_program
+from tests.sockets import (
+    DEFAULT_SETTINGS,
+    Client,
+    CounterHandler,
+    Discovery,
+    GatewaySetup,
+    RespServer,
+    host_entry,
+    run,
+    success_answer,
+    with_timeout,
+)
 
 # Settings with which the shutdown ends soon.
-SHORT_DEADLINES = {"classes": [one | {"hard_limit_ms": 900} for one in WIRE["classes"]]}
+SHORT_DEADLINES = {"classes": [one | {"hard_limit_ms": 900} for one in DEFAULT_SETTINGS["classes"]]}
 FIELDS = b"c=%s,t=basic,d=800,units=1,spread=1,first=0"
 
 
@@ -29,7 +40,7 @@
     answers = []
     with contextlib.suppress(EOFError, ConnectionError):
         while True:
-            answers.append(str(await client.answer()))
+            answers.append(str(await client.read_answer()))
     return answers
 
 
@@ -37,16 +48,16 @@
     """Guards against the loss of requests that are read but still queued behind others at the end."""
 
     async def main() -> None:
-        async with World(lambda words: None, wire=SHORT_DEADLINES) as world:
-            client = await world.client()
-            shutdown = asyncio.create_task(shut_down(world.parts, False))
+        async with GatewaySetup(lambda words: None, settings=SHORT_DEADLINES) as setup:
+            client = await setup.client()
+            shutdown = asyncio.create_task(shut_down(setup.parts, False))
             await asyncio.sleep(0.6)
             for n in range(80):
-                client.ask(b"%d" % n, b"pay", body=b"x")
+                client.send_request(b"%d" % n, b"pay", body=b"x")
             answers = await _answers(client)
             assert len(answers) == 80 and set(answers) == {"-ERR failed", "-BUSY"}
             await shutdown
-            await world.emptied()
+            await setup.wait_until_idle()
 
     run(main())
 
@@ -86,15 +97,15 @@
 
     async def main() -> None:
         loop = asyncio.get_running_loop()
-        async with World(*[lambda words: served()] * 2, wire=SHORT_DEADLINES) as world:
+        async with GatewaySetup(*[lambda words: success_answer()] * 2, settings=SHORT_DEADLINES) as setup:
             senders = [Sender(b"%d" % n) for n in range(20)]
             for sender in senders:
-                await loop.create_connection(lambda sender=sender: sender, *world.address)  # type: ignore[misc]
-            await shut_down(world.parts, False)
+                await loop.create_connection(lambda sender=sender: sender, *setup.address)  # type: ignore[misc]
+            await shut_down(setup.parts, False)
             for sender in senders:
-                await soon(sender.ended.wait())
-            await world.emptied()
-            assert 0 < world.parts.node.last_request_number <= sum(sender.answers for sender in senders)
+                await with_timeout(sender.ended.wait())
+            await setup.wait_until_idle()
+            assert 0 < setup.parts.node.last_request_number <= sum(sender.answers for sender in senders)
 
     run(main())
 
@@ -102,18 +113,18 @@
 @pytest.mark.parametrize("half", [b"*3\r\n$5\r\nval", b"-BUS"])
 def test_incomplete_line_from_host_at_shutdown_fails_its_request_and_delays_nothing(half: bytes) -> None:
     async def main() -> None:
-        async with World(lambda words: None, wire=SHORT_DEADLINES) as world:
-            client, incomplete = await world.client(), await world.client()
-            client.ask(b"1", b"pay", 800, body=b"x")
+        async with GatewaySetup(lambda words: None, settings=SHORT_DEADLINES) as setup:
+            client, incomplete = await setup.client(), await setup.client()
+            client.send_request(b"1", b"pay", 800, body=b"x")
             incomplete.writer.write(pack([b"API.READ"])[:12])  # half a command
-            await soon(world.hosts[0].commands.get())
-            writer = await soon(world.hosts[0].connected.get())
-            shutdown = asyncio.create_task(shut_down(world.parts, False))
+            await with_timeout(setup.hosts[0].commands.get())
+            writer = await with_timeout(setup.hosts[0].connected.get())
+            shutdown = asyncio.create_task(shut_down(setup.parts, False))
             writer.write(half)
             assert await _answers(client) == ["-ERR failed"]
             assert await _answers(incomplete) in ([], ["-ERR the command did not come whole in time"])
             await shutdown
-            await world.emptied()
+            await setup.wait_until_idle()
 
     run(main())
 
@@ -124,28 +135,31 @@
     """Connections to the old process are reset, still in its backlog, or accepted by the new one."""
 
     async def main() -> None:
-        host, counter = await Peer(lambda words: served()).start(), await Peer(Totals()).start()
+        host, counter = (
+            await RespServer(lambda words: success_answer()).start(),
+            await RespServer(CounterHandler()).start(),
+        )
         changes = {
             "counter": counter.dial,
-            "known": {"seq": 1, "whole": True, "hosts": [entry("h", host.dial)]},
+            "known": {"seq": 1, "whole": True, "hosts": [host_entry("h", host.dial)]},
         }
-        async with program(tmp_path, **changes) as (process, address):
+        async with running_program(tmp_path, **changes) as (process, address):
             clients = [await Client.connect(address) for _ in range(20)]
             for n, client in enumerate(clients):
-                client.ask(b"%d" % n)
-            assert await clients[0].answer() == b"value"  # all or some of the connections are accepted
+                client.send_request(b"%d" % n)
+            assert await clients[0].read_answer() == b"value"  # all or some of the connections are accepted
             process.kill()
             for client in clients:
                 await _answers(client)
         listen = f"{address[0]}:{address[1]}"
-        async with program(tmp_path, listen=listen, **changes) as (process, new_address):
+        async with running_program(tmp_path, listen=listen, **changes) as (process, new_address):
             assert new_address == address
             client = await Client.connect(new_address)
             client.send(b"PING")
-            client.ask(b"new")
-            assert [await client.answer() for _ in range(2)] == [b"PONG", b"value"]
+            client.send_request(b"new")
+            assert [await client.read_answer() for _ in range(2)] == [b"PONG", b"value"]
             process.send_signal(signal.SIGTERM)
-            assert await soon(process.wait()) == 0
+            assert await with_timeout(process.wait()) == 0
         for peer in (host, counter):
             peer.server.close()
 
@@ -154,31 +168,36 @@
 
 def test_process_without_requests_is_ready_opens_no_connections_and_ends_at_once(tmp_path: Path) -> None:
     async def main() -> None:
-        host, counter = await Peer(lambda words: served()).start(), await Peer(Totals()).start()
+        host, counter = (
+            await RespServer(lambda words: success_answer()).start(),
+            await RespServer(CounterHandler()).start(),
+        )
         discovery = await Discovery().start()
-        known = {"seq": 1, "whole": True, "hosts": [entry("h", host.dial)]}
+        known = {"seq": 1, "whole": True, "hosts": [host_entry("h", host.dial)]}
         changes = {
             "counter": counter.dial,
             "known": known,
             "discovery": f"{discovery.address[0]}:{discovery.address[1]}",
         }
-        async with program(tmp_path, **changes) as (process, address):
+        async with running_program(tmp_path, **changes) as (process, address):
             discovery.put({"seq": 2, "whole": False, "hosts": []})
-            while "index=2&" not in await soon(discovery.calls.get()):
+            while "index=2&" not in await with_timeout(discovery.calls.get()):
                 pass
             load_balancer = await Client.connect(address)
             load_balancer.send(b"PING")
-            assert await load_balancer.answer() == b"PONG"
-            descriptors_before = len(descriptors(process))
+            assert await load_balancer.read_answer() == b"PONG"
+            descriptors_before = len(open_descriptors(process))
             for _ in range(3):
                 discovery.put({"seq": 2, "whole": False, "hosts": []})
-                await soon(discovery.calls.get())
+                await with_timeout(discovery.calls.get())
                 load_balancer.send(b"PING")
-                assert await load_balancer.answer() == b"PONG"
-            assert len(descriptors(process)) <= descriptors_before + 1  # one for a watch that is being closed
+                assert await load_balancer.read_answer() == b"PONG"
+            assert (
+                len(open_descriptors(process)) <= descriptors_before + 1
+            )  # one for a watch that is being closed
             assert host.connected.empty() and counter.connected.empty()
             process.send_signal(signal.SIGTERM)
-            assert await soon(process.wait()) == 0
+            assert await with_timeout(process.wait()) == 0
         for server in (host.server, counter.server, discovery.server):
             server.close()
 
@@ -187,25 +206,27 @@
 
 def test_drain_after_reload_sends_no_new_requests_to_draining_host(tmp_path: Path) -> None:
     async def main() -> None:
-        draining, remaining = [await Peer(lambda words: served(b"value")).start() for _ in range(2)]
-        hosts = [entry("leaves", draining.dial), entry("stays", remaining.dial)]
+        draining, remaining = [
+            await RespServer(lambda words: success_answer(b"value")).start() for _ in range(2)
+        ]
+        hosts = [host_entry("leaves", draining.dial), host_entry("stays", remaining.dial)]
         old, new = [await Discovery().start() for _ in range(2)]
         dials = [f"{host}:{port}" for host, port in (old.address, new.address)]
         changes = {"known": {"seq": 1, "whole": True, "hosts": hosts}, "discovery": dials[0]}
-        async with program(tmp_path, **changes) as (process, address):
-            assert "index=1&" in await soon(old.calls.get())
+        async with running_program(tmp_path, **changes) as (process, address):
+            assert "index=1&" in await with_timeout(old.calls.get())
             path = tmp_path / "config.json"
             path.write_text(json.dumps(json.loads(path.read_text()) | {"discovery": dials[1]}))
             process.send_signal(signal.SIGHUP)
-            assert await soon(new.calls.get()) == "/discovery/hosts"
+            assert await with_timeout(new.calls.get()) == "/discovery/hosts"
             new.put({"seq": 1, "whole": True, "hosts": hosts})
-            assert "index=1&" in await soon(new.calls.get())
+            assert "index=1&" in await with_timeout(new.calls.get())
             new.put({"seq": 2, "whole": False, "hosts": [hosts[0] | {"health": "terminating"}]})
-            assert "index=2&" in await soon(new.calls.get())
+            assert "index=2&" in await with_timeout(new.calls.get())
             client = await Client.connect(address)
             for n in range(20):
-                client.ask(b"%d" % n)
-                assert await client.answer() == b"value"
+                client.send_request(b"%d" % n)
+                assert await client.read_answer() == b"value"
             assert draining.commands.empty() and remaining.commands.qsize() == 20
         for server in (draining.server, remaining.server, old.server, new.server):
             server.close()
@@ -220,14 +241,14 @@
     monkeypatch.setattr(counter_module, "RETIRE_S", 0.2, raising=False)
 
     async def main() -> None:
-        async with World(lambda words: served(), counter=lambda words: None) as world:
-            client, moved = await world.client(), await Peer(Totals()).start()
-            client.ask(b"1")
-            await soon(world.counter.commands.get())
-            world.parts.counter.move(moved.address)
-            await soon(world.counter.closed.get())
-            client.ask(b"2")
-            await soon(moved.commands.get())
+        async with GatewaySetup(lambda words: success_answer(), counter=lambda words: None) as setup:
+            client, moved = await setup.client(), await RespServer(CounterHandler()).start()
+            client.send_request(b"1")
+            await with_timeout(setup.counter.commands.get())
+            setup.parts.counter.move(moved.address)
+            await with_timeout(setup.counter.closed.get())
+            client.send_request(b"2")
+            await with_timeout(moved.commands.get())
             moved.server.close()
 
     run(main())
@@ -239,24 +260,24 @@
 
     async def main() -> None:
         gateways, requests_each, fleet = 30, 10, 8
-        peers = [await Peer(lambda words: served()).start() for _ in range(fleet)]
-        rules = WIRE["rules"]
+        peers = [await RespServer(lambda words: success_answer()).start() for _ in range(fleet)]
+        rules = DEFAULT_SETTINGS["rules"]
         async with contextlib.AsyncExitStack() as stack:
             clients = []
             for number in range(gateways):
                 wire = {"balancers": gateways, "me": number}
-                world = World(wire=wire, descriptors=80, seed=f"{number:x}")
-                await stack.enter_async_context(world)
-                hosts = [entry(f"h{n}", peer.dial) for n, peer in enumerate(peers)]
+                setup = GatewaySetup(settings=wire, max_descriptors=80, seed=f"{number:x}")
+                await stack.enter_async_context(setup)
+                hosts = [host_entry(f"h{n}", peer.dial) for n, peer in enumerate(peers)]
                 hosts[0]["born_ms"] = (time.time() + clock_off_s) * 1000  # it has just started
-                world.parts.discovery.apply({"seq": 2, "whole": True, "hosts": hosts})
-                clients.append(await world.client())
+                setup.parts.discovery.apply({"seq": 2, "whole": True, "hosts": hosts})
+                clients.append(await setup.client())
             for n in range(requests_each):
                 for number, client in enumerate(clients):
-                    client.ask(b"%d.%d" % (number, n))
+                    client.send_request(b"%d.%d" % (number, n))
             for client in clients:
                 for _ in range(requests_each):
-                    assert await client.answer() == b"value"
+                    assert await client.read_answer() == b"value"
             share = gateways * requests_each / fleet  # of a warm host when the fleet is just fully loaded
             allowed = rules["fall_multiple"] * rules["cold_from"] * share
             assert peers[0].commands.qsize() <= allowed + 2 * allowed**0.5 + 2
