--- a/rainturn/emulator/gateway_roles.py
+++ b/rainturn/emulator/gateway_roles.py
@@ -23,7 +23,7 @@
     WatchStalls,
 )
 from rainturn.emulator.hollow import Addresses, HollowGateway
-from rainturn.emulator.load import OpenLoopLoad
+from rainturn.emulator.open_loop_load import OpenLoopLoad
 from rainturn.emulator.stalls import StallWatch
 from rainturn.emulator.workload import DrawnRequest, Tenants
 
--- a/rainturn/emulator/virtual_fleet.py
+++ b/rainturn/emulator/virtual_fleet.py
@@ -10,7 +10,7 @@
 from rainturn.emulator.counter_service import CounterService
 from rainturn.emulator.discovery_service import DiscoveryService
 from rainturn.emulator.hollow import Addresses, HollowGateway
-from rainturn.emulator.load import OpenLoopLoad
+from rainturn.emulator.open_loop_load import OpenLoopLoad
 from rainturn.emulator.quota_ledger import QuotaLedger
 from rainturn.emulator.traffic import Traffic
 from rainturn.emulator.virtual_time import VirtualClock, VirtualLoop
--- a/rainturn/node/__main__.py
+++ b/rainturn/node/__main__.py
@@ -12,13 +12,13 @@
 
 import uvloop
 
-from rainturn.node import clients, control
+from rainturn.node import client_listener, control
 from rainturn.node.assembly import apply_limits, assemble, share_connection_budget
 from rainturn.node.configuration import Config, read_config
 from rainturn.node.handover import Handover, inherited_listener
+from rainturn.node.handover_state import predecessor_clock, restore_predecessor_state, state_for_successor
 from rainturn.node.reload import Reload
 from rainturn.node.shutdown import shut_down
-from rainturn.node.succession import predecessor_clock, restore_predecessor_state, state_for_successor
 from rainturn.node.system_errors import open_listening_socket
 
 log = logging.getLogger("rainturn.node")
@@ -50,7 +50,7 @@
     if state is not None:
         restore_predecessor_state(parts, state)
     if listener is None:
-        own_listener = await open_listening_socket(config.listen, clients.BACKLOG)
+        own_listener = await open_listening_socket(config.listen, client_listener.BACKLOG)
         address = parts.clients.accept_from(own_listener)
     # The control listener starts only here: a successor must not report ready before it has restored the
     # predecessor's state.
--- a/rainturn/node/assembly.py
+++ b/rainturn/node/assembly.py
@@ -9,10 +9,10 @@
 from typing import NamedTuple
 
 from rainturn import interface as it
-from rainturn.node.clients import ClientListener
+from rainturn.node.client_listener import ClientListener
 from rainturn.node.configuration import Config
 from rainturn.node.control import MAX_CONNECTIONS, Answer, ControlListener, Route
-from rainturn.node.counter import CounterClient
+from rainturn.node.counter_client import CounterClient
 from rainturn.node.discovery import Discovery
 from rainturn.node.gateway import Clock, Node
 from rainturn.node.host_pools import HostPools
--- a/rainturn/node/client_connection.py
+++ b/rainturn/node/client_connection.py
@@ -14,8 +14,8 @@
 from rainturn.node.client_commands import REQUEST_VERBS, CommandParser, MalformedCommand
 from rainturn.node.client_replies import ClientReplies
 from rainturn.node.client_timeouts import ConnectionTimeouts
-from rainturn.node.counters import Ending
 from rainturn.node.gateway import Node
+from rainturn.node.metrics import Ending
 from rainturn.node.requests import Request
 from rainturn.node.resp import ProtocolError, count_unread_bytes, count_unsent_bytes, parse_command
 
--- a/rainturn/node/discovery.py
+++ b/rainturn/node/discovery.py
@@ -21,7 +21,7 @@
 from rainturn.node.host_pools import HostPools
 from rainturn.node.host_table import HostTable
 from rainturn.node.list_decoder import decode_async
-from rainturn.node.list_intake import ListUpdater
+from rainturn.node.list_updater import ListUpdater
 
 log = logging.getLogger(__name__)
 
--- a/rainturn/node/gateway.py
+++ b/rainturn/node/gateway.py
@@ -12,7 +12,7 @@
 
 from rainturn import interface as it
 from rainturn.decisions import Gateway
-from rainturn.node.counters import Ending, Metrics
+from rainturn.node.metrics import Ending, Metrics
 from rainturn.node.requests import Attempt, Request, ValueSource
 
 __all__ = ["Attempt", "AttemptRunner", "Clock", "CounterCaller", "Node", "Request"]
--- a/rainturn/node/succession.py
+++ b/rainturn/node/handover_state.py
@@ -8,7 +8,7 @@
 
 from rainturn.node.assembly import Parts
 from rainturn.node.gateway import Clock
-from rainturn.state import restore_state, save_state
+from rainturn.saved_state import restore_state, save_state
 
 log = logging.getLogger(__name__)
 
--- a/tests/test_emulator_services.py
+++ b/tests/test_emulator_services.py
@@ -22,7 +22,7 @@
     wire_settings,
     zone_names,
 )
-from rainturn.node.counter import CounterClient
+from rainturn.node.counter_client import CounterClient
 from rainturn.node.discovery import Discovery
 from rainturn.node.gateway import Clock, Node, Request
 from rainturn.node.host_pools import HostPools
--- a/tests/test_node_lists_at_scale.py
+++ b/tests/test_node_lists_at_scale.py
@@ -16,7 +16,7 @@
 
 from rainturn import interface as it
 from rainturn.node import discovery as discovery_module
-from rainturn.node import list_intake
+from rainturn.node import list_updater
 from rainturn.node.discovery import Discovery
 from rainturn.node.gateway import Clock, Node
 from rainturn.node.host_list import parse_host, parse_update
@@ -192,7 +192,7 @@
             self.update_count += 1
             update_host(*arguments)
 
-        monkeypatch.setattr(list_intake, "parse_host", count_check)
+        monkeypatch.setattr(list_updater, "parse_host", count_check)
         monkeypatch.setattr(self.pools, "update_host", count_update)
         self.pools.pools = self.counting_pools = CountingDict(self.pools.pools)
         self.discovery.table.fields = self.counting_fields = CountingDict(self.discovery.table.fields)
@@ -215,7 +215,9 @@
         return [host.state for event in self.events for host in event.entries]
 
 
-@pytest.mark.parametrize("changes", [2, list_intake.CHANGED_PER_STEP, list_intake.CHANGED_PER_STEP + 1, 200])
+@pytest.mark.parametrize(
+    "changes", [2, list_updater.CHANGED_PER_STEP, list_updater.CHANGED_PER_STEP + 1, 200]
+)
 @pytest.mark.parametrize("size", SIZES)
 def test_changes_are_one_event_in_a_small_fleet_and_one_event_per_step_in_a_large_one(
     size: int, changes: int, monkeypatch: pytest.MonkeyPatch
@@ -223,7 +225,7 @@
     async def main() -> None:
         harness = DiscoveryHarness(monkeypatch, size)
         await harness.discovery.apply_without_blocking(_list(2, _hosts(changes, health="terminating"), False))
-        steps = 1 if size == 200 else math.ceil(changes / list_intake.CHANGED_PER_STEP)
+        steps = 1 if size == 200 else math.ceil(changes / list_updater.CHANGED_PER_STEP)
         assert len(harness.events) == steps and harness.states() == [DRAINING] * changes
         assert all(event.kind is it.ListKind.DELTA for event in harness.events)
 
@@ -300,7 +302,7 @@
         drains = [_host(number, health="terminating") for number in range(500)]
         await harness.discovery.apply_without_blocking(_list(2, [*new, *_hosts(1800)[500:], *drains]))
         assert harness.states() == [GONE] * 200 + [DRAINING] * 500 + [READY] * 500
-        assert all(len(event.entries) <= list_intake.CHANGED_PER_STEP for event in harness.events)
+        assert all(len(event.entries) <= list_updater.CHANGED_PER_STEP for event in harness.events)
 
     run(main())
 
@@ -566,8 +568,8 @@
 ) -> None:
     """Apply lists at once, in steps of one or two entries, or in steps that the next list interrupts."""
     with pytest.MonkeyPatch.context() as monkeypatch:
-        monkeypatch.setattr(list_intake, "COMPARED_PER_STEP", 2)
-        monkeypatch.setattr(list_intake, "CHANGED_PER_STEP", 1)
+        monkeypatch.setattr(list_updater, "COMPARED_PER_STEP", 2)
+        monkeypatch.setattr(list_updater, "CHANGED_PER_STEP", 1)
         loop: Any = FakeLoop()
         node = Node(module_settings(), 7, Clock(), loop)
         pools = HostPools(node, 30_000.0, 100)
--- a/tests/test_node_program.py
+++ b/tests/test_node_program.py
@@ -15,7 +15,7 @@
 
 import pytest
 
-from rainturn.node.clients import ACCEPT_BATCH
+from rainturn.node.client_listener import ACCEPT_BATCH
 from rainturn.node.host_list import parse_address
 from rainturn.node.resp import encode_array
 from rainturn.node.shutdown import answer_within_s, shut_down
--- a/tests/test_node_services.py
+++ b/tests/test_node_services.py
@@ -15,7 +15,7 @@
 import pytest
 
 from rainturn import interface as it
-from rainturn.node import counter as counter_module
+from rainturn.node import counter_client
 from rainturn.node import discovery as discovery_module
 from rainturn.node.discovery import WATCH_WAIT_MS, Discovery, Refused
 from tests.sockets import (
@@ -115,7 +115,7 @@
 
 def test_a_silent_or_idle_counter_connection_is_replaced(monkeypatch: Any) -> None:
     async def main() -> None:
-        monkeypatch.setattr(counter_module, "SILENT_TIMEOUTS", 0.0)
+        monkeypatch.setattr(counter_client, "SILENT_TIMEOUTS", 0.0)
         async with GatewaySetup(counter=lambda words: None if words[1] == b"1" else b"$1\r\n9\r\n") as setup:
             harness = CounterHarness(setup)
             harness.counter.call(1, 1.0, 1000.0)
@@ -124,7 +124,7 @@
             harness.counter.call(2, 1.0, 1000.0)
             assert await harness.next() == (2, it.Outcome.OK, 9.0)
             assert setup.counter.connected.qsize() == 2
-            monkeypatch.setattr(counter_module, "IDLE_LIMIT_MS", -1.0)
+            monkeypatch.setattr(counter_client, "IDLE_LIMIT_MS", -1.0)
             harness.counter.call(3, 1.0, 1000.0)
             assert await harness.next() == (3, it.Outcome.OK, 9.0)
             assert setup.counter.connected.qsize() == 3
--- a/tests/test_node_upgrade.py
+++ b/tests/test_node_upgrade.py
@@ -21,7 +21,7 @@
 from rainturn import interface as it
 from rainturn.node import handover
 from rainturn.node.handover import POLL_S, STATE_FILE, SUCCESSOR_FILE, Handover, inherited_listener
-from rainturn.state import StateMismatch, restore_state, save_state
+from rainturn.saved_state import StateMismatch, restore_state, save_state
 from tests.helpers import PLAN, GatewayDriver, of_type, settings
 from tests.sockets import (
     DEFAULT_SETTINGS,
--- a/tests/test_policy_size.py
+++ b/tests/test_policy_size.py
@@ -30,7 +30,7 @@
         for node in ast.walk(ast.parse((folder / f"{name}.py").read_text())):
             if not isinstance(node, ast.ImportFrom) or node.module is None:
                 continue
-            assert not node.module.startswith(("rainturn.node", "rainturn.benchlink", "rainturn.state"))
+            assert not node.module.startswith(("rainturn.node", "rainturn.benchlink", "rainturn.saved_state"))
             module = node.module.removeprefix("rainturn.decisions")
             used = [module.removeprefix(".")] if module else [alias.name for alias in node.names]
             for other in used if "rainturn.decisions" in node.module else []:
--- a/tests/test_standing_process.py
+++ b/tests/test_standing_process.py
@@ -13,7 +13,7 @@
 import hiredis
 import pytest
 
-from rainturn.node import counter as counter_module
+from rainturn.node import counter_client
 from rainturn.node.resp import encode_array
 from rainturn.node.shutdown import shut_down
 from tests.program import open_descriptors, running_program
@@ -238,7 +238,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """A partition cuts the old counter off: it neither answers nor closes its connections."""
-    monkeypatch.setattr(counter_module, "DRAIN_TIMEOUT_S", 0.2, raising=False)
+    monkeypatch.setattr(counter_client, "DRAIN_TIMEOUT_S", 0.2, raising=False)
 
     async def main() -> None:
         async with GatewaySetup(lambda words: success_answer(), counter=lambda words: None) as setup:
