--- a/tests/test_unusual_clients.py
+++ b/tests/test_standing_clients.py
@@ -25,7 +25,7 @@
     success_answer,
     with_timeout,
 )
-from tests.test_node_streaming import ScriptedHost
+from tests.test_node_size import ScriptedHost
 
 CUSTOMER = b"00000000b4d65521"
 PING = encode_array([b"PING"])
