--- a/rainturn/emulator/__main__.py
+++ b/rainturn/emulator/__main__.py
@@ -9,8 +9,8 @@
 from pathlib import Path
 from typing import NoReturn
 
+from rainturn.emulator.lab import Options
 from rainturn.emulator.report import plot_slopes, write_json
-from rainturn.emulator.run_context import Options
 from rainturn.emulator.scale import run_scale
 
 EXIT_USAGE, EXIT_INCOMPLETE, EXIT_INTERRUPTED = 2, 1, 130
--- a/rainturn/emulator/comparison.py
+++ b/rainturn/emulator/comparison.py
@@ -21,9 +21,9 @@
 )
 from rainturn.emulator.gateway_roles import ClientRole, HollowRole
 from rainturn.emulator.hollow import Addresses
+from rainturn.emulator.lab import RunContext
 from rainturn.emulator.measurements import Comparison
 from rainturn.emulator.real_gateway import RealGateway
-from rainturn.emulator.run_context import RunContext
 from rainturn.emulator.service_roles import CounterRole, DiscoveryRole, HostRole
 from rainturn.emulator.traffic import Traffic
 from rainturn.emulator.workers import Worker, WorkerFailed, ask_all
--- a/rainturn/emulator/control_series.py
+++ b/rainturn/emulator/control_series.py
@@ -25,8 +25,8 @@
 )
 from rainturn.emulator.gateway_roles import HollowRole
 from rainturn.emulator.hollow import Addresses
+from rainturn.emulator.lab import RunContext
 from rainturn.emulator.measurements import Fault, Quantity, Slope
-from rainturn.emulator.run_context import RunContext
 from rainturn.emulator.service_roles import CounterRole, DiscoveryRole
 from rainturn.emulator.slopes import measure_slopes
 from rainturn.emulator.stalls import Stalls
--- a/rainturn/emulator/counter_series.py
+++ b/rainturn/emulator/counter_series.py
@@ -9,8 +9,8 @@
 from dataclasses import replace
 from typing import Any
 
+from rainturn.emulator.lab import RunContext
 from rainturn.emulator.measurements import Fault, Quantity, Slope
-from rainturn.emulator.run_context import RunContext
 from rainturn.emulator.slopes import measure_slopes
 from rainturn.emulator.virtual_fleet import VirtualFleetOptions
 from rainturn.emulator.virtual_series import (
--- a/rainturn/emulator/fleet.py
+++ b/rainturn/emulator/fleet.py
@@ -22,7 +22,7 @@
 )
 from rainturn.emulator.gateway_roles import HollowRole
 from rainturn.emulator.hollow import Addresses
-from rainturn.emulator.run_context import RunContext
+from rainturn.emulator.lab import RunContext
 from rainturn.emulator.service_roles import CounterRole, DiscoveryRole
 from rainturn.emulator.traffic import Traffic
 from rainturn.emulator.workers import Worker, ask_all
--- a/rainturn/emulator/fleet_faults.py
+++ b/rainturn/emulator/fleet_faults.py
@@ -9,8 +9,8 @@
 from rainturn.emulator.commands import ChangeHosts, ChangeZone, ListChange, SetAnswerTime
 from rainturn.emulator.control_series import ZONE_FRACTION
 from rainturn.emulator.fleet import Fleet, FleetReading
+from rainturn.emulator.lab import RunContext
 from rainturn.emulator.measurements import Fault
-from rainturn.emulator.run_context import RunContext
 
 RESTARTED_FRACTION = 0.7  # of the gateways restart at once, as in the worst scenario of the acceptance test
 SLOW_ANSWER_MS = 5.0  # for each answer of a slow discovery service; it answers one call after another
--- a/rainturn/emulator/fleet_series.py
+++ b/rainturn/emulator/fleet_series.py
@@ -9,8 +9,8 @@
 from rainturn.emulator.commands import ChangeHosts, ListChange, ReplaceHostList
 from rainturn.emulator.control_series import UNUSED_HOST_ADDRESSES
 from rainturn.emulator.fleet import Fleet
+from rainturn.emulator.lab import RunContext
 from rainturn.emulator.measurements import Quantity, Slope
-from rainturn.emulator.run_context import RunContext
 from rainturn.emulator.slopes import measure_slopes
 
 DISCOVERY, COUNTER, CONTROL_PATH = "discovery service", "counter", "gateway control path"
--- a/rainturn/emulator/request_series.py
+++ b/rainturn/emulator/request_series.py
@@ -17,9 +17,9 @@
     TargetGateways,
 )
 from rainturn.emulator.gateway_roles import ClientRole
+from rainturn.emulator.lab import RunContext
 from rainturn.emulator.measurements import Quantity, Slope
 from rainturn.emulator.real_gateway import RealGateway
-from rainturn.emulator.run_context import RunContext
 from rainturn.emulator.service_roles import CounterRole, DiscoveryRole, HostRole
 from rainturn.emulator.slopes import measure_slopes
 from rainturn.emulator.workers import WorkerFailed
--- a/rainturn/emulator/scale.py
+++ b/rainturn/emulator/scale.py
@@ -15,11 +15,11 @@
 from rainturn.emulator.fleet import Fleet
 from rainturn.emulator.fleet_faults import run_fleet_faults
 from rainturn.emulator.fleet_series import FleetPlan, run_fleet_series
+from rainturn.emulator.lab import Options, OverBudget, RunContext
 from rainturn.emulator.measurements import ScaleResult
 from rainturn.emulator.real_gateway import described_command
 from rainturn.emulator.report import revision
 from rainturn.emulator.request_series import run_request_series
-from rainturn.emulator.run_context import Options, OverBudget, RunContext
 from rainturn.emulator.virtual_fleet import VirtualFleetOptions
 from rainturn.emulator.virtual_series import PartitionDurations
 from rainturn.emulator.workers import WorkerFailed
--- a/tests/test_emulator_scale.py
+++ b/tests/test_emulator_scale.py
@@ -13,11 +13,11 @@
 import pytest
 
 from rainturn.emulator.__main__ import main
+from rainturn.emulator.lab import Options, OverBudget, RunContext
 from rainturn.emulator.measurements import ScaleResult
 from rainturn.emulator.real_gateway import ROOT, described_command, run_command
 from rainturn.emulator.report import write_json
 from rainturn.emulator.request_series import RequestTestBench, measure_requests
-from rainturn.emulator.run_context import Options, OverBudget, RunContext
 from rainturn.emulator.scale import run_scale
 from rainturn.emulator.workers import RemoteFailure, WorkerFailed
 
